--- a/src/fleet/domainhomes.cpp
+++ b/src/fleet/domainassignment.cpp
@@ -1,4 +1,4 @@
-#include "fleet/domainhomes.h"
+#include "fleet/domainassignment.h"
 
 #include <algorithm>
 #include <vector>
@@ -8,15 +8,16 @@
 namespace {
 
     // In hosts: what moving a domain's home must gain, so that small changes of traffic move none.
-    constexpr double homeInertia = 3;
+    constexpr double reassignmentThreshold = 3;
 
     struct Domain {
         std::string name;
         double hosts = 0;
-        std::map<std::string, double, std::less<>> running; // Hosts by the model that they ran last, or have staged.
+        std::map<std::string, double, std::less<>>
+            hostsByModel; // Hosts by the model that they ran last, or have staged.
     };
 
-    std::vector<Domain> domainsOf(const HostTable& table, std::string_view service)
+    std::vector<Domain> domainsOfService(const HostTable& table, std::string_view service)
     {
         std::map<std::string, Domain> domains;
         for (const auto& [id, host] : table.hosts()) {
@@ -27,9 +28,9 @@
             ++domain.hosts;
             // What else a host that ran a model has staged is only its second choice.
             if (!host.status.lastModel.empty())
-                ++domain.running[host.status.lastModel];
+                ++domain.hostsByModel[host.status.lastModel];
             else if (!host.status.stagedModels.empty())
-                ++domain.running[host.status.stagedModels.front()];
+                ++domain.hostsByModel[host.status.stagedModels.front()];
         }
         std::vector<Domain> result;
         result.reserve(domains.size());
@@ -40,14 +41,14 @@
 
 }
 
-std::string_view DomainHomes::homeOf(std::string_view domain) const
+std::string_view DomainAssignment::assignedModel(std::string_view domain) const
 {
-    auto found = m_homes.find(domain);
-    return found == m_homes.end() ? std::string_view() : found->second;
+    auto found = m_assignedModels.find(domain);
+    return found == m_assignedModels.end() ? std::string_view() : found->second;
 }
 
 // The model with the largest replicas first, as it is the one that small remainders are of no use to.
-void DomainHomes::assign(const HostTable& table, const ServiceSpec& service,
+void DomainAssignment::assign(const HostTable& table, const ServiceSpec& service,
     const std::map<std::string, double, std::less<>>& wantedReplicas)
 {
     std::vector<const ModelSpec*> models;
@@ -61,28 +62,28 @@
         wantedHosts += hostsFor(model);
     }
     std::ranges::stable_sort(models, std::greater(), &ModelSpec::hostsPerReplica);
-    std::vector<Domain> left = domainsOf(table, service.name);
+    std::vector<Domain> unassigned = domainsOfService(table, service.name);
     double hosts = 0;
-    for (const Domain& domain : left)
+    for (const Domain& domain : unassigned)
         hosts += domain.hosts;
 
-    std::map<std::string, std::string, std::less<>> homes;
+    std::map<std::string, std::string, std::less<>> assignedModels;
     for (const ModelSpec* model : models) {
         bool isLast = model == models.back();
         double quota = wantedHosts > 0 ? hosts * hostsFor(*model) / wantedHosts : 0;
-        std::ranges::stable_sort(left, std::greater(), [&](const Domain& domain) {
-            auto running = domain.running.find(model->name);
-            double inertia = homeOf(domain.name) == model->name ? homeInertia : 0;
-            return (running == domain.running.end() ? 0 : running->second) + inertia;
+        std::ranges::stable_sort(unassigned, std::greater(), [&](const Domain& domain) {
+            auto hostsByModel = domain.hostsByModel.find(model->name);
+            double threshold = assignedModel(domain.name) == model->name ? reassignmentThreshold : 0;
+            return (hostsByModel == domain.hostsByModel.end() ? 0 : hostsByModel->second) + threshold;
         });
-        size_t taken = 0;
-        while (taken < left.size() && (isLast || quota >= left[taken].hosts / 2)) {
-            quota -= left[taken].hosts;
-            homes[left[taken++].name] = model->name;
+        size_t assignedCount = 0;
+        while (assignedCount < unassigned.size() && (isLast || quota >= unassigned[assignedCount].hosts / 2)) {
+            quota -= unassigned[assignedCount].hosts;
+            assignedModels[unassigned[assignedCount++].name] = model->name;
         }
-        left.erase(left.begin(), left.begin() + static_cast<std::ptrdiff_t>(taken));
+        unassigned.erase(unassigned.begin(), unassigned.begin() + static_cast<std::ptrdiff_t>(assignedCount));
     }
-    m_homes = std::move(homes);
+    m_assignedModels = std::move(assignedModels);
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/hostorder.h
+++ b/src/fleet/hostorder.h
@@ -25,7 +25,7 @@
     std::vector<std::string> members; // Of Join; the head first.
     // Of Join: the orders that the host had accepted when it was chosen. A host that has accepted another one since,
     // a late one or another controller's, refuses the join.
-    std::optional<uint64_t> expectedOrders;
+    std::optional<uint64_t> expectedOrderCount;
 };
 
 enum class OrderResult : uint8_t {
--- a/src/fleet/modelstaging.cpp
+++ b/src/fleet/modelstaging.cpp
@@ -7,15 +7,15 @@
 namespace {
 
     // Of the weight store's loads, for second models: cold hosts go first.
-    constexpr uint32_t secondModelLoads = 2;
-    constexpr Milliseconds longestStaging { 60'000 };
+    constexpr uint32_t maxSecondModelLoads = 2;
+    constexpr Milliseconds maxStagingDuration { 60'000 };
     // A host that refuses is loading already, for an earlier controller; it may take as long as a load. One that was
     // asked at each turn used up what other hosts might have loaded.
-    constexpr Milliseconds askAgainAfter { 3000 };
+    constexpr Milliseconds refusalRetryDelay { 3000 };
     // Loads that may begin at the same moment, of those that a few seconds allow.
     constexpr double loadBurst = 5;
     // What a load is worth on an idle host that has a model already: that one may find its replica by itself.
-    constexpr double warmHostShare = 0.5;
+    constexpr double warmHostValueFactor = 0.5;
     // Spare hosts that a domain keeps for each of its replicas of a model: several hosts are often lost within the
     // seconds that it takes to load another spare.
     constexpr uint32_t sparesPerReplica = 2;
@@ -41,30 +41,31 @@
 }
 
 void ModelStaging::plan(const PlannerInput& input, const ModelNeeds& needs, const HostsByDomain& freeHosts,
-    ReplicasByDomain replicas, uint32_t otherLoads, std::vector<HostOrder>& orders)
+    ReplicasByDomain replicas, uint32_t formationLoads, std::vector<HostOrder>& orders)
 {
-    m_awaited.clear();
+    m_hostsToPoll.clear();
     m_replicas = std::move(replicas);
-    m_otherLoads = otherLoads;
-    dropEnded(input);
+    m_formationLoads = formationLoads;
+    removeFinished(input);
     stageIdleHosts(input, needs, freeHosts, orders);
-    if (!input.off.contains(Mechanism::SecondModels))
+    if (!input.disabledMechanisms.contains(Mechanism::SecondModels))
         stageSecondModels(input, needs, orders);
 }
 
-void ModelStaging::dropEnded(const PlannerInput& input)
+void ModelStaging::removeFinished(const PlannerInput& input)
 {
     std::erase_if(m_stagings, [&](const auto& entry) {
         const Host* host = input.hosts.find(entry.first);
-        return !host || host->status.isStaged(entry.second.model) || input.now - entry.second.begun > longestStaging;
+        return !host || host->status.isStaged(entry.second.model)
+            || input.now - entry.second.startedAt > maxStagingDuration;
     });
-    std::erase_if(m_refused, [&](const auto& entry) { return input.now - entry.second >= askAgainAfter; });
+    std::erase_if(m_refusedAt, [&](const auto& entry) { return input.now - entry.second >= refusalRetryDelay; });
 }
 
 // Whether a spare host that holds the model could take the place of a host that one of the domain's replicas loses.
 // What is left of a replica of eight is of no use to that model without it: in domains of nineteen, the three spare
 // hosts loaded the model of four, survivors joined them, and 40 replicas of eight became 15 within sixteen seconds.
-bool ModelStaging::mendsReplica(std::string_view domain, const ModelSpec& model, uint32_t spares) const
+bool ModelStaging::canReplaceMember(std::string_view domain, const ModelSpec& model, uint32_t spares) const
 {
     auto replicas = m_replicas.find(domain);
     if (replicas == m_replicas.end())
@@ -83,25 +84,25 @@
         for (const auto& [domain, hosts] : freeHosts) {
             for (const Host* host : hosts) {
                 if (m_stagings.contains(host->id))
-                    m_awaited.insert(host->id);
-                else if (!m_refused.contains(host->id))
-                    chooseIdleLoad(input, *host, hosts, needs, best);
+                    m_hostsToPoll.insert(host->id);
+                else if (!m_refusedAt.contains(host->id))
+                    considerIdleHost(input, *host, hosts, needs, best);
             }
         }
-        if (!best || !mayLoad(input, input.service.timing.concurrentLoads))
+        if (!best || !tryAcquireLoad(input, input.service.timing.concurrentLoads))
             return;
         stage(input, *best->host, best->model, orders);
     }
 }
 
-void ModelStaging::chooseIdleLoad(const PlannerInput& input, const Host& host, const std::vector<const Host*>& idle,
+void ModelStaging::considerIdleHost(const PlannerInput& input, const Host& host, const std::vector<const Host*>& idle,
     const ModelNeeds& needs, std::optional<IdleLoad>& best) const
 {
     const HostStatus& status = host.status;
     bool isCold = status.lastModel.empty() && status.stagedModels.empty();
     // A load takes the place of the staged copy, which is all that a host has which ran nothing yet.
-    bool wouldLoseItsOnly = status.lastModel.empty() && !isCold;
-    if (wouldLoseItsOnly || (!isCold && input.off.contains(Mechanism::StuckLoads)))
+    bool wouldEvictOnlyCopy = status.lastModel.empty() && !isCold;
+    if (wouldEvictOnlyCopy || (!isCold && input.disabledMechanisms.contains(Mechanism::StuckLoads)))
         return;
     uint32_t largest = 1;
     for (const ModelSpec& model : input.service.models)
@@ -112,10 +113,10 @@
         auto holders = static_cast<uint32_t>(std::ranges::count_if(
             idle, [&](const Host* other) { return other->status.holds(model.name) || isStaging(*other, model.name); }));
         double missing = model.hostsPerReplica > holders ? model.hostsPerReplica - holders : 1;
-        double use = 1 / missing;
-        if (isCold && mendsReplica(status.domain, model, holders))
-            use = std::max(use, static_cast<double>(model.hostsPerReplica) / largest);
-        double value = needs.at(model.name) * use * (isCold ? 1 : warmHostShare);
+        double benefit = 1 / missing;
+        if (isCold && canReplaceMember(status.domain, model, holders))
+            benefit = std::max(benefit, static_cast<double>(model.hostsPerReplica) / largest);
+        double value = needs.at(model.name) * benefit * (isCold ? 1 : warmHostValueFactor);
         if (!best || value > best->value)
             best = IdleLoad { &host, model.name, value };
     }
@@ -125,12 +126,12 @@
 {
     for (const auto& [id, host] : input.hosts.hosts()) {
         bool isOfService = host.service == input.service.name && input.isUsable(id);
-        if (!isOfService || m_stagings.contains(id) || m_refused.contains(id))
+        if (!isOfService || m_stagings.contains(id) || m_refusedAt.contains(id))
             continue;
         std::string_view model = secondModel(input.service, host, needs);
         if (model.empty())
             continue;
-        if (!mayLoad(input, secondModelLoads))
+        if (!tryAcquireLoad(input, maxSecondModelLoads))
             return;
         stage(input, host, model, orders);
     }
@@ -142,11 +143,11 @@
     return staging != m_stagings.end() && staging->second.model == model;
 }
 
-bool ModelStaging::mayLoad(const PlannerInput& input, uint32_t atOnce)
+bool ModelStaging::tryAcquireLoad(const PlannerInput& input, uint32_t maxConcurrentLoads)
 {
-    if (input.loadsAreFree)
+    if (input.isBeforeTraffic)
         return true;
-    if (loads() + m_otherLoads >= atOnce)
+    if (loads() + m_formationLoads >= maxConcurrentLoads)
         return false;
     double elapsed = m_loadTokensAt ? toSeconds(input.now - *m_loadTokensAt) : loadBurst;
     m_loadTokensAt = input.now;
@@ -175,7 +176,7 @@
         return;
     m_stagings.erase(order.hostId);
     if (result == OrderResult::Unfit)
-        m_refused[order.hostId] = now;
+        m_refusedAt[order.hostId] = now;
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/modelstaging.h
+++ b/src/fleet/modelstaging.h
@@ -25,19 +25,19 @@
 
     // Adds orders. freeHosts: those that belong to no replica; otherLoads: in progress for replicas that form.
     void plan(const PlannerInput&, const ModelNeeds&, const HostsByDomain& freeHosts, ReplicasByDomain,
-        uint32_t otherLoads, std::vector<HostOrder>& orders);
+        uint32_t formationLoads, std::vector<HostOrder>& orders);
     void orderEnded(const HostOrder&, OrderResult, MonotonicTime now);
 
     // Whether the host loads a copy of the model, as it was told.
     bool isStaging(const Host&, std::string_view model) const;
     uint32_t loads() const { return static_cast<uint32_t>(m_stagings.size()); }
     // Idle hosts whose own reports tell when they are done.
-    const std::set<std::string, std::less<>>& awaited() const { return m_awaited; }
+    const std::set<std::string, std::less<>>& hostsToPoll() const { return m_hostsToPoll; }
 
 private:
     struct Staging {
         std::string model;
-        MonotonicTime begun;
+        MonotonicTime startedAt;
     };
     // A load for a host that belongs to no replica.
     struct IdleLoad {
@@ -46,20 +46,20 @@
         double value = 0;
     };
 
-    void dropEnded(const PlannerInput&);
-    bool mendsReplica(std::string_view domain, const ModelSpec&, uint32_t spares) const;
+    void removeFinished(const PlannerInput&);
+    bool canReplaceMember(std::string_view domain, const ModelSpec&, uint32_t spares) const;
     void stageIdleHosts(const PlannerInput&, const ModelNeeds&, const HostsByDomain&, std::vector<HostOrder>&);
-    void chooseIdleLoad(const PlannerInput&, const Host&, const std::vector<const Host*>& idle, const ModelNeeds&,
+    void considerIdleHost(const PlannerInput&, const Host&, const std::vector<const Host*>& idle, const ModelNeeds&,
         std::optional<IdleLoad>& best) const;
     void stageSecondModels(const PlannerInput&, const ModelNeeds&, std::vector<HostOrder>&);
-    bool mayLoad(const PlannerInput&, uint32_t atOnce);
+    bool tryAcquireLoad(const PlannerInput&, uint32_t maxConcurrentLoads);
     void stage(const PlannerInput&, const Host&, std::string_view model, std::vector<HostOrder>&);
 
     std::map<std::string, Staging, std::less<>> m_stagings; // By host.
-    std::map<std::string, MonotonicTime, std::less<>> m_refused; // When a host last refused a load.
-    std::set<std::string, std::less<>> m_awaited;
+    std::map<std::string, MonotonicTime, std::less<>> m_refusedAt; // When a host last refused a load.
+    std::set<std::string, std::less<>> m_hostsToPoll;
     ReplicasByDomain m_replicas;
-    uint32_t m_otherLoads = 0;
+    uint32_t m_formationLoads = 0;
     double m_loadTokens = 0;
     std::optional<MonotonicTime> m_loadTokensAt;
 };
--- a/src/fleet/plannerinput.cpp
+++ b/src/fleet/plannerinput.cpp
@@ -7,8 +7,8 @@
     const Host* host = hosts.find(hostId);
     if (!host || host->draining)
         return false;
-    HostContact known = contact(hostId);
-    return known == HostContact::Unknown || known == HostContact::Answers;
+    HostContact hostContact = contact(hostId);
+    return hostContact == HostContact::Unknown || hostContact == HostContact::Reachable;
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/plannerinput.h
+++ b/src/fleet/plannerinput.h
@@ -17,9 +17,9 @@
 // What direct calls to a host say of its life.
 enum class HostContact : uint8_t {
     Unknown, // Not asked lately.
-    Answers,
-    Silent, // No answer: dead, frozen or cut off.
-    SilentToAll, // No answer to any node.
+    Reachable,
+    Unreachable, // No answer: dead, frozen or cut off.
+    UnreachableByAll, // No answer to any node.
     Refused, // Nothing listens: the process has ended, or finishes its last work before it does.
     Ended, // Another life has the address.
 };
@@ -29,12 +29,12 @@
     const HostTable& hosts;
     const ServiceSpec& service;
     // Replicas that the present traffic would fill, by model.
-    const std::map<std::string, double, std::less<>>& wanted;
+    const std::map<std::string, double, std::less<>>& wantedReplicas;
     std::function<HostContact(std::string_view hostId)> contact;
     // Heads whose streams stand still, as nodes see it.
-    std::function<bool(std::string_view hostId)> standsStill;
-    bool loadsAreFree = false; // Before the first request.
-    MechanismsOff off {};
+    std::function<bool(std::string_view hostId)> isStalled;
+    bool isBeforeTraffic = false; // Before the first request.
+    MechanismsOff disabledMechanisms {};
 
     // It stays, and no direct call says otherwise.
     bool isUsable(std::string_view hostId) const;
--- a/src/fleet/replicademand.cpp
+++ b/src/fleet/replicademand.cpp
@@ -7,20 +7,20 @@
 namespace {
 
     // Demand follows traffic within a few seconds.
-    constexpr double placesGain = 0.04;
+    constexpr double smoothingFactor = 0.04;
     // Replicas answer in time while this share of their places is taken. Letting the share of late first events choose
     // it for each model gave the large model more hosts than the others could spare under overload.
-    constexpr double wantedUse = 0.6;
+    constexpr double targetUtilization = 0.6;
     // One replica beyond what calls fill would stand idle; half of one rounds.
-    constexpr double halfReplica = 0.5;
+    constexpr double roundingOffset = 0.5;
 
 }
 
-void ReplicaDemand::observe(double places) { m_places += placesGain * (places - m_places); }
+void ReplicaDemand::observe(double slots) { m_demandedSlots += smoothingFactor * (slots - m_demandedSlots); }
 
 double ReplicaDemand::replicas(uint32_t capacity) const
 {
-    return halfReplica + m_places / (std::max(1u, capacity) * wantedUse);
+    return roundingOffset + m_demandedSlots / (std::max(1u, capacity) * targetUtilization);
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/replicademand.h
+++ b/src/fleet/replicademand.h
@@ -10,13 +10,13 @@
 class ReplicaDemand {
 public:
     // Each 100 ms. Places that calls hold, or would hold had they not been refused, over all nodes.
-    void observe(double places);
+    void observe(double slots);
 
     double replicas(uint32_t capacity) const;
-    double places() const { return m_places; }
+    double demandedSlots() const { return m_demandedSlots; }
 
 private:
-    double m_places = 0; // Smoothed.
+    double m_demandedSlots = 0; // Smoothed.
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/replicaforming.cpp
+++ b/src/fleet/replicaforming.cpp
@@ -10,33 +10,34 @@
 namespace {
 
     // A warm load delays a replica by a second or two; joining the model that a host ran last does not.
-    constexpr double warmCost = 0.1;
-    constexpr Milliseconds longestShift { 5000 };
+    constexpr double warmLoadCost = 0.1;
+    constexpr Milliseconds maxShiftDuration { 5000 };
     // One shift takes three seconds. In forty domains a single one at a time left a model with a seventh of the
     // replicas that it needed, for half a minute; a small fleet has one all the same.
     constexpr size_t domainsPerShift = 8;
     // At the very start hosts appear in the list one by one, some forty a second; where each model is at home is
     // settled once they have. Begun half a second earlier, pairs of early hosts spoilt a domain of ten for the large
     // model.
-    constexpr Milliseconds settledAfter { 600 };
+    constexpr Milliseconds hostCountStablePeriod { 600 };
     // Loads are short then and take some three seconds in all. Begun after 3.5 s, when a third of 162 hosts were yet to
     // appear, pairs took most of their domains: 4 replicas of eight hosts formed of the 10 that were wanted.
-    constexpr Milliseconds longestSettling { 7000 };
+    constexpr Milliseconds maxHostListWait { 7000 };
     // The orders of a whole fleet in one moment kept a node's event loop for a second. At ten plans a second these are
     // 760 hosts in 0.8 s. Loads that are free share no rate: held to twice the loads that the weight store runs at once
     // during traffic, a fleet of 60 hosts had half of its replicas when traffic began.
-    constexpr size_t joinsPerPlan = 96;
+    constexpr size_t maxJoinsPerPlan = 96;
 
 }
 
-ModelNeeds ReplicaPlanner::needs(const PlannerInput& input, const View& view) const
+ModelNeeds ReplicaPlanner::computeNeeds(const PlannerInput& input, const PlanState& planState) const
 {
     ModelNeeds result;
     for (const ModelSpec& model : input.service.models) {
-        auto wanted = input.wanted.find(model.name);
-        auto have = view.have.find(model.name);
-        result[model.name]
-            = wanted == input.wanted.end() ? 0 : wanted->second / (1 + (have == view.have.end() ? 0 : have->second));
+        auto wanted = input.wantedReplicas.find(model.name);
+        auto count = planState.replicaCounts.find(model.name);
+        result[model.name] = wanted == input.wantedReplicas.end()
+            ? 0
+            : wanted->second / (1 + (count == planState.replicaCounts.end() ? 0 : count->second));
     }
     return result;
 }
@@ -63,18 +64,18 @@
     Candidate candidate;
     candidate.model = &model;
     std::ranges::copy_if(freeHosts, std::back_inserter(candidate.members),
-        [&](const Host* host) { return input.loadsAreFree || host->status.holds(model.name); });
+        [&](const Host* host) { return input.isBeforeTraffic || host->status.holds(model.name); });
     if (candidate.members.size() < model.hostsPerReplica)
         return std::nullopt;
     auto cost = [&](const Host* host) {
         if (host->status.lastModel == model.name)
             return 0.0;
-        return host->status.holds(model.name) ? warmCost : 1.0;
+        return host->status.holds(model.name) ? warmLoadCost : 1.0;
     };
     std::ranges::stable_sort(candidate.members, {}, cost);
     candidate.members.resize(model.hostsPerReplica);
     for (const Host* host : candidate.members)
-        candidate.cost += input.loadsAreFree ? 0 : cost(host);
+        candidate.cost += input.isBeforeTraffic ? 0 : cost(host);
     return candidate;
 }
 
@@ -89,22 +90,23 @@
     return result;
 }
 
-const ReplicaPlanner::Candidate* ReplicaPlanner::bestCandidate(const PlannerInput& input, const View& view) const
+const ReplicaPlanner::Candidate* ReplicaPlanner::bestCandidate(
+    const PlannerInput& input, const PlanState& planState) const
 {
-    ModelNeeds needed = needs(input, view);
+    ModelNeeds needed = computeNeeds(input, planState);
     const Candidate* best = nullptr;
     double bestValue = 0;
-    for (const auto& [domain, candidates] : view.candidates) {
-        const ModelSpec* home = input.service.model(m_homes.homeOf(domain));
+    for (const auto& [domain, candidates] : planState.candidates) {
+        const ModelSpec* assigned = input.service.model(m_domainAssignment.assignedModel(domain));
         // Only until that model has what is wanted: what is left of its domains may serve others.
-        bool homeFirst = input.loadsAreFree && !input.off.contains(Mechanism::Homes) && home
-            && view.freeHosts.at(domain).size() >= home->hostsPerReplica && needed.at(home->name) > 1;
+        bool isAssignedFirst = input.isBeforeTraffic && !input.disabledMechanisms.contains(Mechanism::Homes) && assigned
+            && planState.freeHosts.at(domain).size() >= assigned->hostsPerReplica && needed.at(assigned->name) > 1;
         for (const Candidate& candidate : candidates) {
             const ModelSpec& model = *candidate.model;
             double value = needed.at(model.name) / (1 + candidate.cost);
-            if (value <= bestValue || isKeptFor(domain, model.name) || (homeFirst && &model != home))
+            if (value <= bestValue || isReservedForOther(domain, model.name) || (isAssignedFirst && &model != assigned))
                 continue;
-            if (isKeptForLarger(input, view, domain, model))
+            if (isReservedForLarger(input, planState, domain, model))
                 continue;
             best = &candidate;
             bestValue = value;
@@ -113,37 +115,37 @@
     return best;
 }
 
-bool ReplicaPlanner::hasSettled(const PlannerInput& input)
+bool ReplicaPlanner::isHostListStable(const PlannerInput& input)
 {
     size_t count = input.hosts.hosts().size();
     if (count != m_hostCount) {
         m_hostCount = count;
-        m_countSince = input.now;
+        m_hostCountSince = input.now;
     }
-    m_firstSeen = m_firstSeen.value_or(input.now);
-    return !input.loadsAreFree || input.now - m_countSince >= settledAfter
-        || input.now - *m_firstSeen >= longestSettling;
+    m_firstHostSeenAt = m_firstHostSeenAt.value_or(input.now);
+    return !input.isBeforeTraffic || input.now - m_hostCountSince >= hostCountStablePeriod
+        || input.now - *m_firstHostSeenAt >= maxHostListWait;
 }
 
-bool ReplicaPlanner::isKeptFor(std::string_view domain, std::string_view otherModel) const
+bool ReplicaPlanner::isReservedForOther(std::string_view domain, std::string_view model) const
 {
     auto shift = m_shifts.find(domain);
-    return shift != m_shifts.end() && shift->second.model != otherModel;
+    return shift != m_shifts.end() && shift->second.model != model;
 }
 
-bool ReplicaPlanner::isKeptForLarger(
-    const PlannerInput& input, const View& view, const std::string& domain, const ModelSpec& model) const
+bool ReplicaPlanner::isReservedForLarger(
+    const PlannerInput& input, const PlanState& planState, const std::string& domain, const ModelSpec& model) const
 {
-    if (input.loadsAreFree || input.off.contains(Mechanism::LargerFirst))
+    if (input.isBeforeTraffic || input.disabledMechanisms.contains(Mechanism::LargerFirst))
         return false;
-    auto serving = view.serving.find(domain);
-    ShiftDomain stock { domain, view.freeHosts.at(domain),
-        serving == view.serving.end() ? std::vector<const ReplicaView*>() : serving->second };
-    return areKeptForLarger({ input.service, input.wanted, view.have, {},
-                                [this](const Host& host, std::string_view larger) {
-                                    return host.status.holds(larger) || m_staging.isStaging(host, larger);
-                                } },
-        stock, model);
+    auto serving = planState.serving.find(domain);
+    ShiftDomain shiftDomain { domain, planState.freeHosts.at(domain),
+        serving == planState.serving.end() ? std::vector<const ReplicaView*>() : serving->second };
+    return areReservedForLarger({ input.service, input.wantedReplicas, planState.replicaCounts, {},
+                                    [this](const Host& host, std::string_view larger) {
+                                        return host.status.holds(larger) || m_staging.isStaging(host, larger);
+                                    } },
+        shiftDomain, model);
 }
 
 std::map<std::string, std::vector<const ReplicaView*>> ReplicaPlanner::servingByDomain(
@@ -157,12 +159,12 @@
     return result;
 }
 
-std::vector<ShiftDomain> ReplicaPlanner::shiftDomains(const View& view) const
+std::vector<ShiftDomain> ReplicaPlanner::shiftDomains(const PlanState& planState) const
 {
     std::map<std::string, ShiftDomain> domains;
-    for (const auto& [domain, hosts] : view.freeHosts)
+    for (const auto& [domain, hosts] : planState.freeHosts)
         domains[domain].freeHosts = hosts;
-    for (const auto& [domain, replicas] : view.serving)
+    for (const auto& [domain, replicas] : planState.serving)
         domains[domain].replicas = replicas;
     std::vector<ShiftDomain> result;
     for (auto& [name, domain] : domains) {
@@ -173,51 +175,52 @@
 }
 
 // As they will be once the shifts under way are over.
-std::map<std::string, uint32_t> ReplicaPlanner::replicasAfterShifts(const View& view) const
+std::map<std::string, uint32_t> ReplicaPlanner::replicasAfterShifts(const PlanState& planState) const
 {
-    std::map<std::string, uint32_t> have = view.have;
+    std::map<std::string, uint32_t> replicaCounts = planState.replicaCounts;
     std::map<ReplicaKey, std::string> models;
-    for (const ReplicaView& replica : view.replicas) {
+    for (const ReplicaView& replica : planState.replicas) {
         if (!isDissolving(replica))
             models[{ replica.name, replica.epoch }] = replica.model;
     }
     for (const auto& [domain, shift] : m_shifts) {
-        ++have[shift.model];
+        ++replicaCounts[shift.model];
         for (const ReplicaKey& replica : shift.replicas) {
             auto model = models.find(replica);
-            if (model != models.end() && have[model->second] > 0)
-                --have[model->second];
+            if (model != models.end() && replicaCounts[model->second] > 0)
+                --replicaCounts[model->second];
         }
     }
-    return have;
+    return replicaCounts;
 }
 
 // One in each domain, and few at a time: what a shift frees shows in the needs before many more follow.
-void ReplicaPlanner::shiftReplicas(const PlannerInput& input, const View& view)
+void ReplicaPlanner::shiftReplicas(const PlannerInput& input, const PlanState& planState)
 {
-    std::erase_if(m_shifts, [&](const auto& entry) { return input.now - entry.second.begun > longestShift; });
-    if (input.loadsAreFree || input.off.contains(Mechanism::Shift))
+    std::erase_if(m_shifts, [&](const auto& entry) { return input.now - entry.second.startedAt > maxShiftDuration; });
+    if (input.isBeforeTraffic || input.disabledMechanisms.contains(Mechanism::Shift))
         return;
-    auto domains = shiftDomains(view);
-    size_t mostShifts = 1 + domains.size() / domainsPerShift;
+    auto domains = shiftDomains(planState);
+    size_t maxShifts = 1 + domains.size() / domainsPerShift;
     std::erase_if(domains, [this](const ShiftDomain& domain) { return m_shifts.contains(domain.name); });
-    while (m_shifts.size() < mostShifts) {
-        auto have = replicasAfterShifts(view);
-        auto shift = chooseShift({ input.service, input.wanted, have, domains,
+    while (m_shifts.size() < maxShifts) {
+        auto replicaCounts = replicasAfterShifts(planState);
+        auto shift = chooseShift({ input.service, input.wantedReplicas, replicaCounts, domains,
             [&](const Host& host, std::string_view model) { return host.status.holds(model); } });
         if (!shift)
             return;
         for (const auto& replica : shift->replicas)
-            m_watches[replica].retiringSince = input.now;
+            m_trackedReplicas[replica].retiringSince = input.now;
         std::erase_if(domains, [&](const ShiftDomain& domain) { return domain.name == shift->domain; });
         m_shifts[shift->domain] = { std::move(shift->model), std::move(shift->replicas), input.now };
     }
 }
 
-ModelStaging::ReplicasByDomain ReplicaPlanner::replicasByDomain(const PlannerInput& input, const View& view) const
+ModelStaging::ReplicasByDomain ReplicaPlanner::replicasByDomain(
+    const PlannerInput& input, const PlanState& planState) const
 {
     ModelStaging::ReplicasByDomain result;
-    for (const auto& [domain, replicas] : view.serving) {
+    for (const auto& [domain, replicas] : planState.serving) {
         for (const ReplicaView* replica : replicas)
             ++result[domain][replica->model];
     }
@@ -228,67 +231,67 @@
     return result;
 }
 
-void ReplicaPlanner::formReplicas(const PlannerInput& input, View& view, std::vector<HostOrder>& orders)
+void ReplicaPlanner::formReplicas(const PlannerInput& input, PlanState& planState, std::vector<HostOrder>& orders)
 {
     // All idle hosts are asked, also those that are not chosen now: the next choice then finds what it needs.
     bool allReported = true;
-    for (const auto& [domain, hosts] : view.freeHosts)
-        allReported = awaitReports(input, hosts) && allReported;
-    if (!hasSettled(input) || (input.loadsAreFree && !allReported))
+    for (const auto& [domain, hosts] : planState.freeHosts)
+        allReported = requireReports(input, hosts) && allReported;
+    if (!isHostListStable(input) || (input.isBeforeTraffic && !allReported))
         return;
-    if (input.loadsAreFree)
-        m_homes.assign(input.hosts, input.service, input.wanted);
-    shiftReplicas(input, view);
-    for (const auto& [domain, hosts] : view.freeHosts)
-        view.candidates[domain] = candidatesIn(input, hosts);
+    if (input.isBeforeTraffic)
+        m_domainAssignment.assign(input.hosts, input.service, input.wantedReplicas);
+    shiftReplicas(input, planState);
+    for (const auto& [domain, hosts] : planState.freeHosts)
+        planState.candidates[domain] = candidatesIn(input, hosts);
     size_t joins = 0;
-    while (const Candidate* candidate = bestCandidate(input, view)) {
-        if (joins >= joinsPerPlan)
+    while (const Candidate* candidate = bestCandidate(input, planState)) {
+        if (joins >= maxJoinsPerPlan)
             return;
         // A choice that waits for a report of one of its hosts is better than the next best one of its domain. Other
         // domains go on: after a partition of 86 hosts, 240 stood idle while the best choice waited each time.
-        if (!awaitReports(input, candidate->members)) {
-            view.candidates[candidate->members.front()->status.domain].clear();
+        if (!requireReports(input, candidate->members)) {
+            planState.candidates[candidate->members.front()->status.domain].clear();
             continue;
         }
-        formReplica(input, view, *candidate, orders);
+        formReplica(input, planState, *candidate, orders);
         joins += m_formations.back().members.size();
     }
-    m_staging.plan(
-        input, needs(input, view), view.freeHosts, replicasByDomain(input, view), loadsOfFormations(input), orders);
-    m_awaitedLater.insert(m_staging.awaited().begin(), m_staging.awaited().end());
+    m_staging.plan(input, computeNeeds(input, planState), planState.freeHosts, replicasByDomain(input, planState),
+        loadsOfFormations(input), orders);
+    m_hostsToPollLater.insert(m_staging.hostsToPoll().begin(), m_staging.hostsToPoll().end());
 }
 
 // The candidate is the view's, which changes with it.
 void ReplicaPlanner::formReplica(
-    const PlannerInput& input, View& view, const Candidate& candidate, std::vector<HostOrder>& orders)
+    const PlannerInput& input, PlanState& planState, const Candidate& candidate, std::vector<HostOrder>& orders)
 {
     Formation formation;
     formation.epoch = m_nextEpoch++;
     formation.replica = fmt::format("replica-{}", formation.epoch);
     formation.model = candidate.model->name;
-    formation.begun = input.now;
+    formation.startedAt = input.now;
     std::string domain = candidate.members.front()->status.domain;
     for (const Host* host : candidate.members) {
         formation.members.push_back(host->id);
-        formation.joins[host->id].expectedOrders = *m_orderCounts.known(input.hosts, host->id);
+        formation.joins[host->id].expectedOrderCount = *m_orderCounts.known(input.hosts, host->id);
         if (!host->status.holds(formation.model))
             formation.coldMembers.push_back(host->id);
     }
     m_shifts.erase(domain);
-    ++view.have[formation.model];
+    ++planState.replicaCounts[formation.model];
     m_formations.push_back(std::move(formation));
     orderJoins(input, m_formations.back(), orders);
-    const Formation& begun = m_formations.back();
-    m_forming.insert(begun.members.begin(), begun.members.end());
-    m_formingEpochs.insert(begun.epoch);
-    for (const std::string& id : begun.members) {
-        bool isLoading = std::ranges::find(begun.coldMembers, id) != begun.coldMembers.end();
-        (isLoading ? m_awaitedLater : m_awaited).insert(id);
+    const Formation& added = m_formations.back();
+    m_formingHosts.insert(added.members.begin(), added.members.end());
+    m_formingEpochs.insert(added.epoch);
+    for (const std::string& id : added.members) {
+        bool isLoading = std::ranges::find(added.coldMembers, id) != added.coldMembers.end();
+        (isLoading ? m_hostsToPollLater : m_hostsToPoll).insert(id);
     }
-    auto& freeHosts = view.freeHosts.at(domain);
-    std::erase_if(freeHosts, [this](const Host* host) { return m_forming.contains(host->id); });
-    view.candidates[domain] = candidatesIn(input, freeHosts);
+    auto& freeHosts = planState.freeHosts.at(domain);
+    std::erase_if(freeHosts, [this](const Host* host) { return m_formingHosts.contains(host->id); });
+    planState.candidates[domain] = candidatesIn(input, freeHosts);
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/replicaplanner.cpp
+++ b/src/fleet/replicaplanner.cpp
@@ -10,35 +10,38 @@
     constexpr uint64_t epochsPerLease = 1'000'000;
 
     // An order is answered within a round trip; one that is not is sent again, as repeating it is harmless.
-    constexpr Milliseconds orderRepeat { 700 };
+    constexpr Milliseconds orderResendInterval { 700 };
     // A host that accepted something else meanwhile is joined once more by its new count; one that refuses again and
     // again has another controller's orders, or its reports are wrong.
-    constexpr int mostJoinRefusals = 3;
+    constexpr int maxJoinRefusals = 3;
     // A host that leaves finishes what its replica has, for as long as engines allow at most; its entry goes when it
     // has ended. One that ends without notice is not heard of again, and a notice would show within this time.
-    constexpr Milliseconds longestLastWork { 10'500 };
-    constexpr Milliseconds lastWorkUnlisted { 300 };
-    constexpr Milliseconds suddenEnd { 600 };
+    constexpr Milliseconds maxDrainTime { 10'500 };
+    constexpr Milliseconds unlistedDrainTime { 300 };
+    constexpr Milliseconds leaveNoticeTimeout { 600 };
     // Loads share the weight store: one may take several times its own time.
-    constexpr int longestLoads = 4;
+    constexpr int maxLoadFactor = 4;
     constexpr Milliseconds formationMargin { 10'000 };
 
     // Joins of an earlier controller that are on their way show within this time: an order's timeout, the list's lag
     // and two reads of it.
-    constexpr Milliseconds earlierJoinsShow { 2200 };
+    constexpr Milliseconds earlierJoinsTimeout { 2200 };
 
     // Replicas that give way finish what they have for this long; what is longer goes on elsewhere.
-    constexpr Milliseconds retireGrace { 600 };
+    constexpr Milliseconds retireGracePeriod { 600 };
 
     bool isTakingRequests(MemberState state) { return state == MemberState::Open || state == MemberState::Closing; }
 
     // Of a member that the list dropped: it lost its way to the store, or it is about to end.
     bool mayServeUnlisted(HostContact contact)
     {
-        return contact == HostContact::Unknown || contact == HostContact::Answers;
+        return contact == HostContact::Unknown || contact == HostContact::Reachable;
     }
 
-    bool isSilent(HostContact contact) { return contact == HostContact::Silent || contact == HostContact::SilentToAll; }
+    bool isUnreachable(HostContact contact)
+    {
+        return contact == HostContact::Unreachable || contact == HostContact::UnreachableByAll;
+    }
 
     // An order that concerns one membership and does nothing to any other.
     HostOrder membershipOrder(OrderKind kind, std::string_view hostId, std::string_view replica, uint64_t epoch)
@@ -74,28 +77,28 @@
 std::vector<HostOrder> ReplicaPlanner::plan(const PlannerInput& input)
 {
     std::vector<HostOrder> orders;
-    m_awaited.clear();
-    m_awaitedLater.clear();
+    m_hostsToPoll.clear();
+    m_hostsToPollLater.clear();
     m_orderCounts.forgetUnlisted(input.hosts);
     for (Formation& formation : m_formations)
         advanceFormation(input, formation, orders);
     std::erase_if(m_formations, [](const Formation& formation) { return formation.failed; });
-    noteFormations();
+    indexFormations();
 
-    View view;
-    view.replicas = input.hosts.replicas();
+    PlanState planState;
+    planState.replicas = input.hosts.replicas();
     std::set<ReplicaKey> known;
-    for (const ReplicaView& replica : view.replicas)
+    for (const ReplicaView& replica : planState.replicas)
         known.emplace(replica.name, replica.epoch);
-    std::erase_if(m_watches, [&](const auto& entry) { return !known.contains(entry.first); });
-    for (const ReplicaView& replica : view.replicas) {
+    std::erase_if(m_trackedReplicas, [&](const auto& entry) { return !known.contains(entry.first); });
+    for (const ReplicaView& replica : planState.replicas) {
         if (replica.service == input.service.name)
             superviseReplica(input, replica, orders);
     }
-    view.freeHosts = freeHostsByDomain(input);
-    view.serving = servingByDomain(input, view.replicas);
-    view.have = replicasByModel(input, view.replicas);
-    formReplicas(input, view, orders);
+    planState.freeHosts = freeHostsByDomain(input);
+    planState.serving = servingByDomain(input, planState.replicas);
+    planState.replicaCounts = replicasByModel(input, planState.replicas);
+    formReplicas(input, planState, orders);
     for (const HostOrder& order : orders)
         m_orderCounts.sending(order, input.hosts);
     return orders;
@@ -105,12 +108,12 @@
 {
     const ModelSpec* model = input.service.model(formation.model);
     // Each is a member already or may become one; another controller may have taken one that refused its join.
-    bool isWhole = std::ranges::all_of(formation.members, [&](const auto& id) {
+    bool areMembersUsable = std::ranges::all_of(formation.members, [&](const auto& id) {
         const Host* host = input.hosts.find(id);
         return input.isUsable(id) && (host->isMemberOf(formation.replica, formation.epoch) || isIdle(input, *host));
     });
-    bool isLate = !model || input.now - formation.begun > model->load * longestLoads + formationMargin;
-    if (!isWhole || isLate || formation.failed) {
+    bool isTimedOut = !model || input.now - formation.startedAt > model->load * maxLoadFactor + formationMargin;
+    if (!areMembersUsable || isTimedOut || formation.failed) {
         abandon(formation, orders);
         formation.failed = true;
         return;
@@ -118,7 +121,7 @@
     bool allReady = true;
     for (const std::string& id : formation.members) {
         bool isLoading = std::ranges::find(formation.coldMembers, id) != formation.coldMembers.end();
-        (isLoading ? m_awaitedLater : m_awaited).insert(id);
+        (isLoading ? m_hostsToPollLater : m_hostsToPoll).insert(id);
         const Host& host = *input.hosts.find(id);
         allReady = allReady && host.isMemberOf(formation.replica, formation.epoch)
             && host.status.membership->state != MemberState::Joining;
@@ -131,7 +134,7 @@
         formation.failed = true; // Served its purpose: the replica is supervised from now on.
         return;
     }
-    if (takeOrderTurn(formation.openSent, input.now))
+    if (recordSendIfDue(formation.openSentAt, input.now))
         orders.push_back(membershipOrder(OrderKind::Open, head.id, formation.replica, formation.epoch));
 }
 
@@ -141,23 +144,23 @@
         if (input.hosts.find(id)->isMemberOf(formation.replica, formation.epoch))
             continue;
         MemberJoin& join = formation.joins.at(id);
-        if (!join.expectedOrders)
-            join.expectedOrders = m_orderCounts.known(input.hosts, id);
-        if (!join.expectedOrders || !takeOrderTurn(join.sent, input.now))
+        if (!join.expectedOrderCount)
+            join.expectedOrderCount = m_orderCounts.known(input.hosts, id);
+        if (!join.expectedOrderCount || !recordSendIfDue(join.sentAt, input.now))
             continue;
         orders.push_back({ OrderKind::Join, id, formation.replica, formation.epoch, formation.model, formation.members,
-            join.expectedOrders });
+            join.expectedOrderCount });
     }
 }
 
 // The head first: an open that is still on its way must find nothing to open.
 void ReplicaPlanner::abandon(const Formation& formation, std::vector<HostOrder>& orders)
 {
-    Watch& watch = m_watches[{ formation.replica, formation.epoch }];
-    watch.headId = formation.members.front();
-    watch.isDissolving = true;
+    TrackedReplica& tracked = m_trackedReplicas[{ formation.replica, formation.epoch }];
+    tracked.headId = formation.members.front();
+    tracked.isDissolving = true;
     for (const std::string& id : formation.members) {
-        if (formation.joins.at(id).sent || formation.joins.at(id).refusals > 0)
+        if (formation.joins.at(id).sentAt || formation.joins.at(id).refusals > 0)
             orders.push_back(membershipOrder(OrderKind::Leave, id, formation.replica, formation.epoch));
     }
 }
@@ -166,41 +169,42 @@
 bool ReplicaPlanner::adopt(const PlannerInput& input, const ReplicaView& replica)
 {
     const ModelSpec* model = input.service.model(replica.model);
-    bool isOwn = replica.epoch >= m_firstEpoch;
-    if (isOwn || !model || replica.members.size() != model->hostsPerReplica)
+    bool isCurrentEpoch = replica.epoch >= m_firstEpoch;
+    if (isCurrentEpoch || !model || replica.members.size() != model->hostsPerReplica)
         return false;
     Formation formation;
     formation.replica = replica.name;
     formation.epoch = replica.epoch;
     formation.model = replica.model;
-    formation.begun = input.now;
+    formation.startedAt = input.now;
     formation.members.resize(replica.members.size());
     for (const Host* host : replica.members) {
         uint32_t rank = host->status.membership->rank;
-        bool isInPlace = rank < formation.members.size() && formation.members[rank].empty();
+        bool isRankValid = rank < formation.members.size() && formation.members[rank].empty();
         bool mayForm = host->status.membership->state == MemberState::Joining
             || host->status.membership->state == MemberState::Ready;
-        if (!isInPlace || !mayForm || !input.isUsable(host->id))
+        if (!isRankValid || !mayForm || !input.isUsable(host->id))
             return false;
         formation.members[rank] = host->id;
-        formation.joins[host->id].sent = input.now; // By the earlier controller; so that it drains if this fails.
+        formation.joins[host->id].sentAt = input.now; // By the earlier controller; so that it drains if this fails.
         // Its last model is this one already, whether it has it or not.
         if (host->status.membership->state == MemberState::Joining && !host->status.isStaged(formation.model))
             formation.coldMembers.push_back(host->id);
     }
     m_formations.push_back(std::move(formation));
-    noteFormations();
+    indexFormations();
     return true;
 }
 
 // Some of its hosts may have yet to be heard of. Members alone that are ready tell of a head that left.
-bool ReplicaPlanner::mayStillForm(const PlannerInput& input, const ReplicaView& replica, const Watch& watch) const
+bool ReplicaPlanner::mayStillForm(
+    const PlannerInput& input, const ReplicaView& replica, const TrackedReplica& tracked) const
 {
-    bool isEarlier = replica.epoch < m_firstEpoch && input.now - watch.since < earlierJoinsShow;
+    bool mayGainMembers = replica.epoch < m_firstEpoch && input.now - tracked.firstSeenAt < earlierJoinsTimeout;
     bool isHeadWaiting = replica.head && replica.head->status.membership->state == MemberState::Ready;
     bool isAnyJoining = std::ranges::any_of(
         replica.members, [](const Host* host) { return host->status.membership->state == MemberState::Joining; });
-    return isEarlier && !watch.isDissolving && (isHeadWaiting || isAnyJoining);
+    return mayGainMembers && !tracked.isDissolving && (isHeadWaiting || isAnyJoining);
 }
 
 void ReplicaPlanner::superviseReplica(
@@ -208,155 +212,155 @@
 {
     if (isForming(replica))
         return;
-    auto [entry, isNew] = m_watches.try_emplace({ replica.name, replica.epoch });
-    Watch& watch = entry->second;
+    auto [entry, isNew] = m_trackedReplicas.try_emplace({ replica.name, replica.epoch });
+    TrackedReplica& tracked = entry->second;
     if (isNew)
-        watch.since = input.now;
-    if (!watch.isDissolving && adopt(input, replica))
+        tracked.firstSeenAt = input.now;
+    if (!tracked.isDissolving && adopt(input, replica))
         return;
-    if (mayStillForm(input, replica, watch)) {
+    if (mayStillForm(input, replica, tracked)) {
         for (const Host* member : replica.members)
-            m_awaitedLater.insert(member->id);
+            m_hostsToPollLater.insert(member->id);
         return;
     }
     if (replica.head) {
-        watch.headId = replica.head->id;
-        watch.headIsLeaving = watch.headIsLeaving || replica.head->draining;
+        tracked.headId = replica.head->id;
+        tracked.headIsLeaving = tracked.headIsLeaving || replica.head->draining;
     }
-    bool isRetired = watch.retiringSince && input.now - *watch.retiringSince > retireGrace;
+    bool isRetired = tracked.retiringSince && input.now - *tracked.retiringSince > retireGracePeriod;
     bool isServing = replica.head && isTakingRequests(replica.head->status.membership->state);
-    if (watch.isDissolving || !isServing || isRetired)
+    if (tracked.isDissolving || !isServing || isRetired)
         return dissolve(input, replica, orders);
 
     const ModelSpec* model = input.service.model(replica.model);
-    bool isShort = model && !replica.isWhole(model->hostsPerReplica);
-    bool isDoubted = isShort || input.standsStill(replica.head->id);
-    bool hasLost = isShort;
-    bool isLeaving = watch.retiringSince.has_value();
+    bool isIncomplete = model && !replica.isWhole(model->hostsPerReplica);
+    bool isSuspected = isIncomplete || input.isStalled(replica.head->id);
+    bool hasLostMember = isIncomplete;
+    bool isLeaving = tracked.retiringSince.has_value();
     for (const Host* member : replica.members) {
         HostContact contact = input.contact(member->id);
-        if (isDoubted)
-            m_awaited.insert(member->id);
+        if (isSuspected)
+            m_hostsToPoll.insert(member->id);
         bool isLost = contact == HostContact::Ended || (contact == HostContact::Refused && !member->draining);
-        hasLost = hasLost || isLost || (isDoubted && isSilent(contact));
+        hasLostMember = hasLostMember || isLost || (isSuspected && isUnreachable(contact));
         isLeaving = isLeaving || member->draining;
     }
     for (const Host* member : replica.lapsed) {
-        m_awaited.insert(member->id);
-        hasLost = hasLost || !mayServeUnlisted(input.contact(member->id));
+        m_hostsToPoll.insert(member->id);
+        hasLostMember = hasLostMember || !mayServeUnlisted(input.contact(member->id));
     }
-    if (hasLost)
+    if (hasLostMember)
         return dissolve(input, replica, orders);
     bool mayClose = isLeaving && replica.head->status.membership->state == MemberState::Open
         && input.contact(replica.head->id) != HostContact::Refused;
-    if (mayClose && takeOrderTurn(watch.closeSent, input.now))
+    if (mayClose && recordSendIfDue(tracked.closeSentAt, input.now))
         orders.push_back(membershipOrder(OrderKind::Close, replica.head->id, replica.name, replica.epoch));
 }
 
-bool ReplicaPlanner::takeOrderTurn(std::optional<MonotonicTime>& sent, MonotonicTime now) const
+bool ReplicaPlanner::recordSendIfDue(std::optional<MonotonicTime>& sentAt, MonotonicTime now) const
 {
-    if (sent && now - *sent < orderRepeat)
+    if (sentAt && now - *sentAt < orderResendInterval)
         return false;
-    sent = now;
+    sentAt = now;
     return true;
 }
 
 void ReplicaPlanner::dissolve(const PlannerInput& input, const ReplicaView& replica, std::vector<HostOrder>& orders)
 {
-    Watch& watch = m_watches[{ replica.name, replica.epoch }];
-    watch.isDissolving = true;
-    if (watch.headIsOut && !replica.head)
+    TrackedReplica& tracked = m_trackedReplicas[{ replica.name, replica.epoch }];
+    tracked.isDissolving = true;
+    if (tracked.headHasLeft && !replica.head)
         return;
-    if (!watch.headId.empty())
-        m_awaited.insert(watch.headId);
-    switch (followHead(input, replica, watch)) {
-    case HeadFate::MayServe:
-        return orderLeave(input, replica, watch, orders);
-    case HeadFate::Lost:
-        return orderMembersLeave(input, replica, watch, orders);
-    case HeadFate::Out:
-        watch.headIsOut = true;
+    if (!tracked.headId.empty())
+        m_hostsToPoll.insert(tracked.headId);
+    switch (updateHeadStatus(input, replica, tracked)) {
+    case HeadStatus::MayServe:
+        return orderHeadLeave(input, replica, tracked, orders);
+    case HeadStatus::Lost:
+        return orderMembersLeave(input, replica, tracked, orders);
+    case HeadStatus::Left:
+        tracked.headHasLeft = true;
         return;
     }
 }
 
 void ReplicaPlanner::orderMembersLeave(
-    const PlannerInput& input, const ReplicaView& replica, Watch& watch, std::vector<HostOrder>& orders)
+    const PlannerInput& input, const ReplicaView& replica, TrackedReplica& tracked, std::vector<HostOrder>& orders)
 {
     for (const Host* member : replica.members) {
-        if (member->id == watch.headId || !input.isUsable(member->id))
+        if (member->id == tracked.headId || !input.isUsable(member->id))
             continue;
-        m_awaited.insert(member->id);
-        if (takeOrderTurn(watch.memberLeaveSent[member->id], input.now))
+        m_hostsToPoll.insert(member->id);
+        if (recordSendIfDue(tracked.memberLeaveSentAt[member->id], input.now))
             orders.push_back(membershipOrder(OrderKind::Leave, member->id, replica.name, replica.epoch));
     }
 }
 
 // To a head that is listed, or that lives on without being listed, as far as it takes orders.
-void ReplicaPlanner::orderLeave(
-    const PlannerInput& input, const ReplicaView& replica, Watch& watch, std::vector<HostOrder>& orders)
+void ReplicaPlanner::orderHeadLeave(
+    const PlannerInput& input, const ReplicaView& replica, TrackedReplica& tracked, std::vector<HostOrder>& orders)
 {
-    HostContact contact = input.contact(watch.headId);
-    bool takesOrders = replica.head ? contact != HostContact::Refused : contact == HostContact::Answers;
-    if (watch.headId.empty() || !takesOrders || watch.headIsOut)
+    HostContact contact = input.contact(tracked.headId);
+    bool takesOrders = replica.head ? contact != HostContact::Refused : contact == HostContact::Reachable;
+    if (tracked.headId.empty() || !takesOrders || tracked.headHasLeft)
         return;
-    if (takeOrderTurn(watch.leaveSent, input.now))
-        orders.push_back(membershipOrder(OrderKind::Leave, watch.headId, replica.name, replica.epoch));
+    if (recordSendIfDue(tracked.leaveSentAt, input.now))
+        orders.push_back(membershipOrder(OrderKind::Leave, tracked.headId, replica.name, replica.epoch));
 }
 
 // Whether the head can still serve its replica, as far as can be told.
-ReplicaPlanner::HeadFate ReplicaPlanner::followHead(
-    const PlannerInput& input, const ReplicaView& replica, Watch& watch) const
+ReplicaPlanner::HeadStatus ReplicaPlanner::updateHeadStatus(
+    const PlannerInput& input, const ReplicaView& replica, TrackedReplica& tracked) const
 {
-    const Host* head = input.hosts.find(watch.headId);
-    HostContact contact = watch.headId.empty() ? HostContact::SilentToAll : input.contact(watch.headId);
+    const Host* head = input.hosts.find(tracked.headId);
+    HostContact contact = tracked.headId.empty() ? HostContact::UnreachableByAll : input.contact(tracked.headId);
     bool isOwnReport = head && head->status.ordersAccepted && m_orderCounts.isReported(input.hosts, head->id);
     bool hasLeft = isOwnReport && !head->isMemberOf(replica.name, replica.epoch);
-    if (watch.headIsOut || hasLeft || contact == HostContact::Ended)
-        return HeadFate::Out;
-    if (contact == HostContact::Answers && !head)
-        watch.headIsLeaving = true;
+    if (tracked.headHasLeft || hasLeft || contact == HostContact::Ended)
+        return HeadStatus::Left;
+    if (contact == HostContact::Reachable && !head)
+        tracked.headIsLeaving = true;
     if (contact != HostContact::Refused)
-        watch.headRefusedSince.reset();
+        tracked.headRefusedSince.reset();
     if (contact == HostContact::Refused)
-        return hasFinished(input, watch, head) ? HeadFate::Lost : HeadFate::MayServe;
-    return contact == HostContact::SilentToAll ? HeadFate::Lost : HeadFate::MayServe;
+        return hasHeadEnded(input, tracked, head) ? HeadStatus::Lost : HeadStatus::MayServe;
+    return contact == HostContact::UnreachableByAll ? HeadStatus::Lost : HeadStatus::MayServe;
 }
 
 // A head that leaves stops listening first and ends only after its last request: that nothing listens tells of an end
 // only if it was sudden.
-bool ReplicaPlanner::hasFinished(const PlannerInput& input, Watch& watch, const Host* head) const
+bool ReplicaPlanner::hasHeadEnded(const PlannerInput& input, TrackedReplica& tracked, const Host* head) const
 {
-    watch.headRefusedSince = watch.headRefusedSince.value_or(input.now);
-    bool isUnlisted = watch.headIsLeaving && !head;
-    Milliseconds limit = isUnlisted ? lastWorkUnlisted : watch.headIsLeaving ? longestLastWork : suddenEnd;
-    return input.now - *watch.headRefusedSince > limit;
+    tracked.headRefusedSince = tracked.headRefusedSince.value_or(input.now);
+    bool isUnlisted = tracked.headIsLeaving && !head;
+    Milliseconds limit = isUnlisted ? unlistedDrainTime : tracked.headIsLeaving ? maxDrainTime : leaveNoticeTimeout;
+    return input.now - *tracked.headRefusedSince > limit;
 }
 
 // False if some of them have yet to report what they are.
-bool ReplicaPlanner::awaitReports(const PlannerInput& input, const std::vector<const Host*>& hosts)
+bool ReplicaPlanner::requireReports(const PlannerInput& input, const std::vector<const Host*>& hosts)
 {
     bool allReported = true;
     for (const Host* host : hosts) {
         if (m_orderCounts.known(input.hosts, host->id))
             continue;
         allReported = false;
-        m_awaited.insert(host->id);
+        m_hostsToPoll.insert(host->id);
     }
     return allReported;
 }
 
 bool ReplicaPlanner::isFree(const PlannerInput& input, const Host& host) const
 {
-    return !m_forming.contains(host.id) && isIdle(input, host);
+    return !m_formingHosts.contains(host.id) && isIdle(input, host);
 }
 
-void ReplicaPlanner::noteFormations()
+void ReplicaPlanner::indexFormations()
 {
-    m_forming.clear();
+    m_formingHosts.clear();
     m_formingEpochs.clear();
     for (const Formation& formation : m_formations) {
-        m_forming.insert(formation.members.begin(), formation.members.end());
+        m_formingHosts.insert(formation.members.begin(), formation.members.end());
         m_formingEpochs.insert(formation.epoch);
     }
 }
@@ -368,8 +372,8 @@
         return false;
     if (!host.status.membership)
         return true;
-    auto watch = m_watches.find({ host.status.membership->replica, host.status.membership->epoch });
-    return watch != m_watches.end() && watch->second.isDissolving && watch->second.headIsOut;
+    auto tracked = m_trackedReplicas.find({ host.status.membership->replica, host.status.membership->epoch });
+    return tracked != m_trackedReplicas.end() && tracked->second.isDissolving && tracked->second.headHasLeft;
 }
 
 HostsByDomain ReplicaPlanner::freeHostsByDomain(const PlannerInput& input) const
@@ -387,8 +391,8 @@
 
 bool ReplicaPlanner::isDissolving(const ReplicaView& replica) const
 {
-    auto watch = m_watches.find({ replica.name, replica.epoch });
-    return watch != m_watches.end() && watch->second.isDissolving;
+    auto tracked = m_trackedReplicas.find({ replica.name, replica.epoch });
+    return tracked != m_trackedReplicas.end() && tracked->second.isDissolving;
 }
 
 // Open, and not about to be taken apart.
@@ -420,28 +424,28 @@
     for (const auto& [model, count] : replicasByModel(input, input.hosts.replicas()))
         summary.open[model] = count - summary.forming[model];
     summary.dissolving = static_cast<size_t>(std::ranges::count_if(
-        m_watches, [](const auto& entry) { return entry.second.isDissolving && !entry.second.headIsOut; }));
+        m_trackedReplicas, [](const auto& entry) { return entry.second.isDissolving && !entry.second.headHasLeft; }));
     for (const auto& [domain, shift] : m_shifts)
         summary.shift += fmt::format("{}{} in {}", summary.shift.empty() ? "" : ", ", shift.model, domain);
     summary.loads = m_staging.loads() + loadsOfFormations(input);
     for (const auto& [domain, hosts] : freeHostsByDomain(input)) {
         summary.freeHosts += hosts.size();
-        auto& staged = summary.freeByDomain[fmt::format("{} ({})", domain, m_homes.homeOf(domain))];
+        auto& staged = summary.freeByDomain[fmt::format("{} ({})", domain, m_domainAssignment.assignedModel(domain))];
         for (const Host* host : hosts)
             ++staged[host->status.stagedModels.empty() ? "nothing" : host->status.stagedModels.front()];
     }
     return summary;
 }
 
-void ReplicaPlanner::joinRefused(const HostOrder& order)
+void ReplicaPlanner::handleJoinRefusal(const HostOrder& order)
 {
     for (Formation& formation : m_formations) {
         if (formation.epoch != order.epoch)
             continue;
         MemberJoin& join = formation.joins.at(order.hostId);
-        join.expectedOrders.reset();
-        join.sent.reset();
-        formation.failed = formation.failed || ++join.refusals >= mostJoinRefusals;
+        join.expectedOrderCount.reset();
+        join.sentAt.reset();
+        formation.failed = formation.failed || ++join.refusals >= maxJoinRefusals;
     }
 }
 
@@ -450,13 +454,13 @@
     m_orderCounts.ended(order, result, now);
     m_staging.orderEnded(order, result, now);
     if (order.kind == OrderKind::Join && result == OrderResult::Unfit)
-        joinRefused(order);
+        handleJoinRefusal(order);
     bool hasLeft = result == OrderResult::Holds || result == OrderResult::Accepted || result == OrderResult::Gone;
     if (order.kind != OrderKind::Leave || !hasLeft)
         return;
-    auto found = m_watches.find({ order.replica, order.epoch });
-    if (found != m_watches.end() && found->second.headId == order.hostId)
-        found->second.headIsOut = true;
+    auto found = m_trackedReplicas.find({ order.replica, order.epoch });
+    if (found != m_trackedReplicas.end() && found->second.headId == order.hostId)
+        found->second.headHasLeft = true;
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/replicaplanner.h
+++ b/src/fleet/replicaplanner.h
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 #include "fleet/config.h"
-#include "fleet/domainhomes.h"
+#include "fleet/domainassignment.h"
 #include "fleet/hostorder.h"
 #include "fleet/modelstaging.h"
 #include "fleet/ordercounts.h"
@@ -56,14 +56,14 @@
     Summary summary(const PlannerInput&) const;
 
     // Hosts whose own reports the next decisions wait for.
-    const std::set<std::string, std::less<>>& awaited() const { return m_awaited; }
+    const std::set<std::string, std::less<>>& hostsToPoll() const { return m_hostsToPoll; }
     // Hosts that load for seconds, and idle ones: their reports are of use, but nobody is served later without them.
-    const std::set<std::string, std::less<>>& awaitedLater() const { return m_awaitedLater; }
+    const std::set<std::string, std::less<>>& hostsToPollLater() const { return m_hostsToPollLater; }
 
 private:
     struct MemberJoin {
-        std::optional<uint64_t> expectedOrders; // Nothing after a refusal, until the host reports.
-        std::optional<MonotonicTime> sent; // The latest.
+        std::optional<uint64_t> expectedOrderCount; // Nothing after a refusal, until the host reports.
+        std::optional<MonotonicTime> sentAt; // The latest.
         int refusals = 0;
     };
     struct Formation {
@@ -71,36 +71,36 @@
         uint64_t epoch = 0;
         std::string model;
         std::vector<std::string> members;
-        MonotonicTime begun;
+        MonotonicTime startedAt;
         std::vector<std::string> coldMembers; // Those that load from the weight store.
         std::map<std::string, MemberJoin, std::less<>> joins;
-        std::optional<MonotonicTime> openSent;
+        std::optional<MonotonicTime> openSentAt;
         bool failed = false;
     };
     // A replica as long as any host says that it is a member.
-    struct Watch {
-        MonotonicTime since {};
+    struct TrackedReplica {
+        MonotonicTime firstSeenAt {};
         bool isDissolving = false;
         std::optional<MonotonicTime> retiringSince; // Its hosts are to serve another model.
         std::string headId;
-        std::optional<MonotonicTime> closeSent;
-        std::optional<MonotonicTime> leaveSent;
+        std::optional<MonotonicTime> closeSentAt;
+        std::optional<MonotonicTime> leaveSentAt;
         std::optional<MonotonicTime> headRefusedSince; // Nothing listens at the head's address.
         bool headIsLeaving = false; // By its own notice, or by living on without being listed.
-        bool headIsOut = false; // It said so itself, or its life is over.
-        std::map<std::string, std::optional<MonotonicTime>, std::less<>> memberLeaveSent;
+        bool headHasLeft = false; // It said so itself, or its life is over.
+        std::map<std::string, std::optional<MonotonicTime>, std::less<>> memberLeaveSentAt;
     };
-    enum class HeadFate : uint8_t {
+    enum class HeadStatus : uint8_t {
         MayServe,
         Lost, // Or finished; its members may leave it.
-        Out, // Its members are free.
+        Left, // Its members are free.
     };
     using ReplicaKey = std::pair<std::string, uint64_t>;
     // A replica that others give way to; until it begins to form, free hosts of the domain are kept for it.
     struct Shift {
         std::string model;
         std::vector<ReplicaKey> replicas; // That give way.
-        MonotonicTime begun;
+        MonotonicTime startedAt;
     };
     struct Candidate {
         const ModelSpec* model = nullptr;
@@ -109,11 +109,11 @@
     };
     // What a plan sees, made once for each: going through all hosts for each replica that is formed took the first
     // plan of 760 hosts over half a second of a core.
-    struct View {
+    struct PlanState {
         std::vector<ReplicaView> replicas;
         std::map<std::string, std::vector<const ReplicaView*>> serving; // By domain.
         HostsByDomain freeHosts;
-        std::map<std::string, uint32_t> have; // Replicas that serve or form, by model.
+        std::map<std::string, uint32_t> replicaCounts; // Replicas that serve or form, by model.
         // The best choices of each domain's free hosts, one a model that has any; made again when they change.
         std::map<std::string, std::vector<Candidate>> candidates;
     };
@@ -122,56 +122,56 @@
     void orderJoins(const PlannerInput&, Formation&, std::vector<HostOrder>&);
     void abandon(const Formation&, std::vector<HostOrder>&);
     bool adopt(const PlannerInput&, const ReplicaView&);
-    bool mayStillForm(const PlannerInput&, const ReplicaView&, const Watch&) const;
+    bool mayStillForm(const PlannerInput&, const ReplicaView&, const TrackedReplica&) const;
     void superviseReplica(const PlannerInput&, const ReplicaView&, std::vector<HostOrder>&);
     void dissolve(const PlannerInput&, const ReplicaView&, std::vector<HostOrder>&);
-    HeadFate followHead(const PlannerInput&, const ReplicaView&, Watch&) const;
-    bool hasFinished(const PlannerInput&, Watch&, const Host* head) const;
-    void orderLeave(const PlannerInput&, const ReplicaView&, Watch&, std::vector<HostOrder>&);
-    void orderMembersLeave(const PlannerInput&, const ReplicaView&, Watch&, std::vector<HostOrder>&);
-    bool takeOrderTurn(std::optional<MonotonicTime>& sent, MonotonicTime now) const;
-    void formReplicas(const PlannerInput&, View&, std::vector<HostOrder>&);
-    void formReplica(const PlannerInput&, View&, const Candidate&, std::vector<HostOrder>&);
-    ModelNeeds needs(const PlannerInput&, const View&) const;
-    const Candidate* bestCandidate(const PlannerInput&, const View&) const;
+    HeadStatus updateHeadStatus(const PlannerInput&, const ReplicaView&, TrackedReplica&) const;
+    bool hasHeadEnded(const PlannerInput&, TrackedReplica&, const Host* head) const;
+    void orderHeadLeave(const PlannerInput&, const ReplicaView&, TrackedReplica&, std::vector<HostOrder>&);
+    void orderMembersLeave(const PlannerInput&, const ReplicaView&, TrackedReplica&, std::vector<HostOrder>&);
+    bool recordSendIfDue(std::optional<MonotonicTime>& sentAt, MonotonicTime now) const;
+    void formReplicas(const PlannerInput&, PlanState&, std::vector<HostOrder>&);
+    void formReplica(const PlannerInput&, PlanState&, const Candidate&, std::vector<HostOrder>&);
+    ModelNeeds computeNeeds(const PlannerInput&, const PlanState&) const;
+    const Candidate* bestCandidate(const PlannerInput&, const PlanState&) const;
     std::vector<Candidate> candidatesIn(const PlannerInput&, const std::vector<const Host*>& freeHosts) const;
     std::optional<Candidate> candidateIn(
         const PlannerInput&, const ModelSpec&, const std::vector<const Host*>& freeHosts) const;
-    ModelStaging::ReplicasByDomain replicasByDomain(const PlannerInput&, const View&) const;
+    ModelStaging::ReplicasByDomain replicasByDomain(const PlannerInput&, const PlanState&) const;
     uint32_t loadsOfFormations(const PlannerInput&) const;
-    void shiftReplicas(const PlannerInput&, const View&);
-    std::map<std::string, uint32_t> replicasAfterShifts(const View&) const;
-    std::vector<ShiftDomain> shiftDomains(const View&) const;
+    void shiftReplicas(const PlannerInput&, const PlanState&);
+    std::map<std::string, uint32_t> replicasAfterShifts(const PlanState&) const;
+    std::vector<ShiftDomain> shiftDomains(const PlanState&) const;
     std::map<std::string, std::vector<const ReplicaView*>> servingByDomain(
         const PlannerInput&, const std::vector<ReplicaView>&) const;
-    bool isKeptFor(std::string_view domain, std::string_view otherModel) const;
-    bool isKeptForLarger(const PlannerInput&, const View&, const std::string& domain, const ModelSpec&) const;
-    bool hasSettled(const PlannerInput&);
+    bool isReservedForOther(std::string_view domain, std::string_view model) const;
+    bool isReservedForLarger(const PlannerInput&, const PlanState&, const std::string& domain, const ModelSpec&) const;
+    bool isHostListStable(const PlannerInput&);
     HostsByDomain freeHostsByDomain(const PlannerInput&) const;
     bool isFree(const PlannerInput&, const Host&) const;
     bool isIdle(const PlannerInput&, const Host&) const;
-    bool awaitReports(const PlannerInput&, const std::vector<const Host*>&);
-    void joinRefused(const HostOrder&);
+    bool requireReports(const PlannerInput&, const std::vector<const Host*>&);
+    void handleJoinRefusal(const HostOrder&);
     bool isForming(const ReplicaView&) const;
     bool isDissolving(const ReplicaView&) const;
     bool isServing(const PlannerInput&, const ReplicaView&) const;
-    void noteFormations();
+    void indexFormations();
     std::map<std::string, uint32_t> replicasByModel(const PlannerInput&, const std::vector<ReplicaView>&) const;
 
     uint64_t m_firstEpoch; // Earlier ones are of earlier controllers.
     uint64_t m_nextEpoch;
     std::vector<Formation> m_formations;
-    std::set<std::string, std::less<>> m_forming; // Hosts of the formations.
+    std::set<std::string, std::less<>> m_formingHosts; // Hosts of the formations.
     std::set<uint64_t> m_formingEpochs; // Of the formations.
-    std::map<ReplicaKey, Watch> m_watches;
+    std::map<ReplicaKey, TrackedReplica> m_trackedReplicas;
     ModelStaging m_staging;
     OrderCounts m_orderCounts;
-    DomainHomes m_homes;
+    DomainAssignment m_domainAssignment;
     std::map<std::string, Shift, std::less<>> m_shifts; // By domain.
-    std::set<std::string, std::less<>> m_awaited;
-    std::set<std::string, std::less<>> m_awaitedLater;
-    std::optional<MonotonicTime> m_firstSeen; // Of any host; and since when their number stays the same.
-    MonotonicTime m_countSince {};
+    std::set<std::string, std::less<>> m_hostsToPoll;
+    std::set<std::string, std::less<>> m_hostsToPollLater;
+    std::optional<MonotonicTime> m_firstHostSeenAt; // Of any host; and since when their number stays the same.
+    MonotonicTime m_hostCountSince {};
     size_t m_hostCount = 0;
 };
 
--- a/src/fleet/replicashift.cpp
+++ b/src/fleet/replicashift.cpp
@@ -7,30 +7,30 @@
 namespace {
 
     // Above it, a model's next replica would be full at once: its calls lack places.
-    constexpr double leastNeed = 1.0;
+    constexpr double minNeed = 1.0;
     // How much more the one model must need a replica than the others afterwards, and on top of that for a whole
     // replica of hosts that give way: a shift stops these from serving for two seconds.
-    constexpr double firstMargin = 1.4;
-    constexpr double wholeMargin = 0.6;
+    constexpr double baseMargin = 1.4;
+    constexpr double fullReplicaMargin = 0.6;
 
     double needOf(const ShiftInput& input, std::string_view model, uint32_t taken)
     {
-        auto wanted = input.wanted.find(model);
-        auto have = input.have.find(std::string(model));
-        uint32_t left = have == input.have.end() ? 0 : have->second - std::min(taken, have->second);
-        return wanted == input.wanted.end() ? 0 : wanted->second / (1.0 + left);
+        auto wanted = input.wantedReplicas.find(model);
+        auto count = input.replicaCounts.find(std::string(model));
+        uint32_t remaining = count == input.replicaCounts.end() ? 0 : count->second - std::min(taken, count->second);
+        return wanted == input.wantedReplicas.end() ? 0 : wanted->second / (1.0 + remaining);
     }
 
     // Free hosts that hold the model, and those that do in replicas of models that need no further one. None if no free
     // host holds it: then nothing is there to be kept.
-    size_t hostsAtHand(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
+    size_t countAvailableHosts(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
     {
         auto holds = [&](const Host* host) { return input.holds(*host, model.name); };
         auto hosts = static_cast<size_t>(std::ranges::count_if(domain.freeHosts, holds));
         if (hosts == 0)
             return 0;
         for (const ReplicaView* replica : domain.replicas) {
-            bool canSpare = replica->model != model.name && needOf(input, replica->model, 1) <= leastNeed;
+            bool canSpare = replica->model != model.name && needOf(input, replica->model, 1) <= minNeed;
             if (canSpare && std::ranges::all_of(replica->members, holds))
                 hosts += replica->members.size();
         }
@@ -38,7 +38,7 @@
     }
 
     // The fewest replicas of other models that, with the free hosts, are enough for one of this model.
-    std::optional<ReplicaShift> shiftIn(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
+    std::optional<ReplicaShift> findShift(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
     {
         auto holds = [&](const Host* host) { return input.holds(*host, model.name); };
         auto hosts = static_cast<size_t>(std::ranges::count_if(domain.freeHosts, holds));
@@ -58,12 +58,12 @@
         // Without one that gives way there is nothing to shift: free hosts form replicas by themselves.
         if (hosts < model.hostsPerReplica || shift.replicas.empty())
             return std::nullopt;
-        double shareTaken = std::min(1.0, static_cast<double>(hostsTaken) / model.hostsPerReplica);
-        double margin = firstMargin + wholeMargin * shareTaken;
+        double takenShare = std::min(1.0, static_cast<double>(hostsTaken) / model.hostsPerReplica);
+        double margin = baseMargin + fullReplicaMargin * takenShare;
         double need = needOf(input, model.name, 0);
         bool isWorthIt = std::ranges::all_of(taken, [&](const auto& entry) {
             double needAfter = needOf(input, entry.first, entry.second);
-            return needAfter <= leastNeed || need > margin * needAfter;
+            return needAfter <= minNeed || need > margin * needAfter;
         });
         return isWorthIt ? std::optional(std::move(shift)) : std::nullopt;
     }
@@ -74,7 +74,7 @@
 {
     std::vector<const ModelSpec*> models;
     for (const ModelSpec& model : input.service.models) {
-        if (needOf(input, model.name, 0) > leastNeed)
+        if (needOf(input, model.name, 0) > minNeed)
             models.push_back(&model);
     }
     std::ranges::stable_sort(
@@ -82,7 +82,7 @@
     for (const ModelSpec* model : models) {
         std::optional<ReplicaShift> best;
         for (const ShiftDomain& domain : input.domains) {
-            auto shift = shiftIn(input, domain, *model);
+            auto shift = findShift(input, domain, *model);
             if (shift && (!best || shift->replicas.size() < best->replicas.size()))
                 best = std::move(shift);
         }
@@ -92,13 +92,13 @@
     return std::nullopt;
 }
 
-bool areKeptForLarger(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
+bool areReservedForLarger(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
 {
-    if (needOf(input, model.name, 0) > leastNeed)
+    if (needOf(input, model.name, 0) > minNeed)
         return false;
     return std::ranges::any_of(input.service.models, [&](const ModelSpec& larger) {
-        bool isShort = larger.hostsPerReplica > model.hostsPerReplica && needOf(input, larger.name, 0) > leastNeed;
-        return isShort && hostsAtHand(input, domain, larger) >= larger.hostsPerReplica;
+        bool isShort = larger.hostsPerReplica > model.hostsPerReplica && needOf(input, larger.name, 0) > minNeed;
+        return isShort && countAvailableHosts(input, domain, larger) >= larger.hostsPerReplica;
     });
 }
 
--- a/src/fleet/replicashift.h
+++ b/src/fleet/replicashift.h
@@ -24,8 +24,8 @@
 
 struct ShiftInput {
     const ServiceSpec& service;
-    const std::map<std::string, double, std::less<>>& wanted; // Replicas that the traffic would fill, by model.
-    const std::map<std::string, uint32_t>& have; // By model.
+    const std::map<std::string, double, std::less<>>& wantedReplicas; // Replicas that the traffic would fill, by model.
+    const std::map<std::string, uint32_t>& replicaCounts; // By model.
     std::span<const ShiftDomain> domains;
     // Whether the host can join the model without a load from the weight store.
     std::function<bool(const Host&, std::string_view model)> holds;
@@ -46,6 +46,6 @@
 // the larger one is short, this one is not, and the domain has what completes it, in free hosts and in replicas of
 // models that can spare them. Hosts that join another model lose their copy of the larger one, and loading it anew
 // takes many times longer than waiting for the rest.
-bool areKeptForLarger(const ShiftInput&, const ShiftDomain&, const ModelSpec&);
+bool areReservedForLarger(const ShiftInput&, const ShiftDomain&, const ModelSpec&);
 
 } // namespace Kumquatpick
--- a/src/gateway/controllerloop.cpp
+++ b/src/gateway/controllerloop.cpp
@@ -79,8 +79,8 @@
             continue;
         planService(service, fencing);
         const ReplicaPlanner& planner = *m_planners.at(service.name);
-        awaited.insert(planner.awaited().begin(), planner.awaited().end());
-        awaitedLater.insert(planner.awaitedLater().begin(), planner.awaitedLater().end());
+        awaited.insert(planner.hostsToPoll().begin(), planner.hostsToPoll().end());
+        awaitedLater.insert(planner.hostsToPollLater().begin(), planner.hostsToPollLater().end());
     }
     askHosts(awaited, awaitedLater);
 }
@@ -106,7 +106,7 @@
         auto summary = planner->summary(input);
         std::map<std::string, double> inFlight;
         for (const ModelSpec& model : service.models)
-            inFlight[model.name] = m_demand.at(model.name).places();
+            inFlight[model.name] = m_demand.at(model.name).demandedSlots();
         m_context.log.write("replicas",
             { { "service", service.name }, { "open", summary.open }, { "forming", summary.forming },
                 { "wanted", wanted }, { "in_flight", inFlight }, { "dissolving", summary.dissolving },
@@ -145,7 +145,7 @@
     double places = 0;
     double shares = 0;
     for (const ModelSpec& model : service.models) {
-        places += m_demand.at(model.name).places();
+        places += m_demand.at(model.name).demandedSlots();
         shares += model.workShare;
     }
     // What operators expect counts until calls fill one replica's places.
@@ -183,9 +183,9 @@
     if (contact.failures >= failuresOfSilence && contact.isRefused)
         return HostContact::Refused;
     if (contact.failures >= failuresOfSilence)
-        return isSilentToAll(contact) ? HostContact::SilentToAll : HostContact::Silent;
+        return isSilentToAll(contact) ? HostContact::UnreachableByAll : HostContact::Unreachable;
     bool isFresh = m_context.now() - contact.answeredAt < contactLasts;
-    return isFresh && contact.failures == 0 ? HostContact::Answers : HostContact::Unknown;
+    return isFresh && contact.failures == 0 ? HostContact::Reachable : HostContact::Unknown;
 }
 
 // What decides about replicas soonest goes first, as only so many calls may be under way.
@@ -350,7 +350,7 @@
 {
     m_context.metrics.count("orders_total");
     if (m_context.off.contains(Mechanism::ConditionalJoins))
-        order.expectedOrders.reset();
+        order.expectedOrderCount.reset();
     auto answer
         = co_await callHost(order.hostId, address, m_context.platform.order(order, fencing), orderTimeout, Step::Order);
     auto* response = std::get_if<HttpResponse>(&answer);
--- a/src/tool/benchplanner.cpp
+++ b/src/tool/benchplanner.cpp
@@ -44,7 +44,7 @@
         {
             m_now += tick;
             PlannerInput input { m_now, m_hosts, m_service, m_wanted,
-                [](std::string_view) { return HostContact::Answers; }, [](std::string_view) { return false; },
+                [](std::string_view) { return HostContact::Reachable; }, [](std::string_view) { return false; },
                 m_loadsAreFree };
             auto begun = std::chrono::steady_clock::now();
             auto orders = m_planner.plan(input);
--- a/tests/fleet/largeworld.h
+++ b/tests/fleet/largeworld.h
@@ -12,60 +12,60 @@
 class LargeWorld : public PlannerWorld {
 public:
     LargeWorld()
-        : PlannerWorld({ modelOf("large", 8), modelOf("small", 4) })
+        : PlannerWorld({ makeModel("large", 8), makeModel("small", 4) })
     {
         constexpr int hosts = 760;
         constexpr int domains = 40;
-        wanted = { { "large", 47.5 }, { "small", 95 } };
+        wantedReplicas = { { "large", 47.5 }, { "small", 95 } };
         service.timing.loadsPerSecond = 63;
         service.timing.concurrentLoads = 95;
         for (int i = 0; i < hosts; ++i)
             addHost(fmt::format("host-{:03}", i), fmt::format("domain-{:02}", i % domains));
-        obey = [this](const HostOrder& order) { return obeyWithLoads(order); };
+        handleOrder = [this](const HostOrder& order) { return applyOrderWithLoads(order); };
     }
 
     // Goes on in steps in which loads end.
     void run(Milliseconds duration)
     {
         for (MonotonicTime end = now + duration; now < end;) {
-            size_t joins = m_joins;
+            size_t joins = m_joinCount;
             PlannerWorld::run(Milliseconds(100));
-            mostJoinsAtOnce = std::max(mostJoinsAtOnce, m_joins - joins);
-            endLoads();
+            largestJoinBatch = std::max(largestJoinBatch, m_joinCount - joins);
+            completeLoads();
         }
     }
 
-    void changeController() { planner = ReplicaPlanner(++m_fencing); }
+    void replaceController() { planner = ReplicaPlanner(++m_fencing); }
 
-    size_t joiningHosts() const { return hostsWhoseHead(MemberState::Joining) + m_loads.size(); }
-    size_t openHosts() const { return hostsWhoseHead(MemberState::Open); }
+    size_t joiningHosts() const { return countHostsByHeadState(MemberState::Joining) + m_loadEndTimes.size(); }
+    size_t openHosts() const { return countHostsByHeadState(MemberState::Open); }
 
-    int leavesOfJoined = 0;
-    size_t mostJoinsAtOnce = 0; // Of one plan.
+    int leavesOfMembers = 0;
+    size_t largestJoinBatch = 0; // Of one plan.
 
 private:
-    OrderResult obeyWithLoads(const HostOrder& order)
+    OrderResult applyOrderWithLoads(const HostOrder& order)
     {
         const Host* host = table.find(order.hostId);
         bool isMember = host && host->isMemberOf(order.replica, order.epoch);
         if (order.kind == OrderKind::Leave && isMember)
-            ++leavesOfJoined;
-        m_joins += order.kind == OrderKind::Join ? 1 : 0;
-        bool loads = order.kind == OrderKind::Join && !host->status.holds(order.model);
-        OrderResult result = carryOut(order);
-        if (!loads || result != OrderResult::Accepted)
+            ++leavesOfMembers;
+        m_joinCount += order.kind == OrderKind::Join ? 1 : 0;
+        bool mustLoad = order.kind == OrderKind::Join && !host->status.holds(order.model);
+        OrderResult result = applyOrder(order);
+        if (!mustLoad || result != OrderResult::Accepted)
             return result;
         HostStatus status = table.find(order.hostId)->status;
         status.membership->state = MemberState::Joining;
         status.stagedModels.clear();
         table.reported(order.hostId, status, now += std::chrono::microseconds(1));
-        m_loads[order.hostId] = now + Milliseconds(1600);
+        m_loadEndTimes[order.hostId] = now + Milliseconds(1600);
         return result;
     }
 
-    void endLoads()
+    void completeLoads()
     {
-        for (auto load = m_loads.begin(); load != m_loads.end();) {
+        for (auto load = m_loadEndTimes.begin(); load != m_loadEndTimes.end();) {
             if (load->second > now) {
                 ++load;
                 continue;
@@ -75,11 +75,11 @@
             if (status.membership)
                 status.membership->state = MemberState::Ready;
             table.reported(load->first, status, now += std::chrono::microseconds(1));
-            load = m_loads.erase(load);
+            load = m_loadEndTimes.erase(load);
         }
     }
 
-    size_t hostsWhoseHead(MemberState state) const
+    size_t countHostsByHeadState(MemberState state) const
     {
         size_t count = 0;
         for (const ReplicaView& replica : table.replicas())
@@ -88,8 +88,8 @@
     }
 
     uint64_t m_fencing = 7;
-    size_t m_joins = 0;
-    std::map<std::string, MonotonicTime> m_loads; // By host; when they end.
+    size_t m_joinCount = 0;
+    std::map<std::string, MonotonicTime> m_loadEndTimes; // By host; when they end.
 };
 
 } // namespace Kumquatpick
--- a/tests/fleet/lossyworld.h
+++ b/tests/fleet/lossyworld.h
@@ -19,19 +19,19 @@
     };
 
     LossyWorld(Sizes sizes, double wantedLarge, double wantedSmall)
-        : PlannerWorld({ modelOf("large", sizes.large), modelOf("small", sizes.small) })
+        : PlannerWorld({ makeModel("large", sizes.large), makeModel("small", sizes.small) })
         , m_sizes(sizes)
     {
         service.models[1].load = Milliseconds(12'000);
         service.models[1].warmLoad = Milliseconds(1100);
         service.timing.loadsPerSecond = 14;
         service.timing.concurrentLoads = 20;
-        wanted = { { "large", wantedLarge }, { "small", wantedSmall } };
-        obey = [this](const HostOrder& order) { return obeyInTime(order); };
+        wantedReplicas = { { "large", wantedLarge }, { "small", wantedSmall } };
+        handleOrder = [this](const HostOrder& order) { return applyOrderWithDelays(order); };
         for (int i = 0; i < sizes.domains * sizes.hostsPerDomain; ++i)
-            addHost(fmt::format("host-{:03}", m_hosts++), domainName(i % sizes.domains));
+            addHost(fmt::format("host-{:03}", m_hostCount++), domainName(i % sizes.domains));
         run(Milliseconds(14'000));
-        loadsAreFree = false;
+        isBeforeTraffic = false;
     }
 
     // Goes on in steps in which joins and loads end.
@@ -39,7 +39,7 @@
     {
         for (MonotonicTime end = now + duration; now < end;) {
             PlannerWorld::run(Milliseconds(100));
-            endWhatIsDue();
+            completeDueOperations();
         }
     }
 
@@ -54,12 +54,12 @@
         }
         for (size_t i = 0; i < std::min(count, members.size()); ++i) {
             const Host* lost = members[(i * m_sizes.large + 1) % members.size()];
-            contacts[lost->id] = HostContact::Silent;
-            silentReports.insert(lost->id);
-            m_unlistedAt[lost->id] = now + Milliseconds(3600);
+            contacts[lost->id] = HostContact::Unreachable;
+            nonReportingHosts.insert(lost->id);
+            m_unlistTimes[lost->id] = now + Milliseconds(3600);
             for (const ReplicaView& replica : openReplicas()) {
                 if (replica.head && std::ranges::find(replica.members, lost) != replica.members.end())
-                    still.insert(replica.head->id);
+                    stalledHeads.insert(replica.head->id);
             }
         }
     }
@@ -67,7 +67,7 @@
     void addEmptyHosts(int domain, int count)
     {
         for (int i = 0; i < count; ++i)
-            addHost(fmt::format("host-{:03}", m_hosts++), domainName(domain));
+            addHost(fmt::format("host-{:03}", m_hostCount++), domainName(domain));
     }
 
     // Replicas that serve: all of their members are alive.
@@ -83,41 +83,41 @@
 private:
     static std::string domainName(int domain) { return fmt::format("domain-{:02}", domain); }
 
-    OrderResult obeyInTime(const HostOrder& order)
+    OrderResult applyOrderWithDelays(const HostOrder& order)
     {
         if (contacts.contains(order.hostId))
             return OrderResult::Lost;
         const Host* host = table.find(order.hostId);
         if (!host)
             return OrderResult::Lost;
-        HostStatus before = host->status;
-        OrderResult result = carryOut(order);
+        HostStatus previous = host->status;
+        OrderResult result = applyOrder(order);
         if (result != OrderResult::Accepted)
             return result;
         const ModelSpec* model = service.model(order.model);
         HostStatus status = table.find(order.hostId)->status;
         if (order.kind == OrderKind::Join) {
-            bool isLast = before.lastModel == order.model;
-            Milliseconds takes = isLast        ? Milliseconds(200)
-                : before.isStaged(order.model) ? model->warmLoad
-                                               : loadTime(*model);
+            bool isLastModel = previous.lastModel == order.model;
+            Milliseconds duration = isLastModel  ? Milliseconds(200)
+                : previous.isStaged(order.model) ? model->warmLoad
+                                                 : loadTime(*model);
             status.membership->state = MemberState::Joining;
-            m_joinsEnd[order.hostId] = { now + takes, *status.membership };
+            m_pendingJoins[order.hostId] = { now + duration, *status.membership };
         } else if (order.kind == OrderKind::Stage) {
-            status.stagedModels = before.stagedModels;
-            m_loadsEnd[order.hostId] = { now + loadTime(*model), order.model };
+            status.stagedModels = previous.stagedModels;
+            m_pendingLoads[order.hostId] = { now + loadTime(*model), order.model };
         } else if (order.kind == OrderKind::Leave) {
-            m_joinsEnd.erase(order.hostId);
+            m_pendingJoins.erase(order.hostId);
         }
         table.reported(order.hostId, status, now += std::chrono::microseconds(1));
         return result;
     }
 
-    Milliseconds loadTime(const ModelSpec& model) const { return loadsAreFree ? model.load / 10 : model.load; }
+    Milliseconds loadTime(const ModelSpec& model) const { return isBeforeTraffic ? model.load / 10 : model.load; }
 
-    void endWhatIsDue()
+    void completeDueOperations()
     {
-        std::erase_if(m_joinsEnd, [this](const auto& entry) {
+        std::erase_if(m_pendingJoins, [this](const auto& entry) {
             const auto& [at, membership] = entry.second;
             const Host* host = table.find(entry.first);
             if (at > now)
@@ -129,7 +129,7 @@
             }
             return true;
         });
-        std::erase_if(m_loadsEnd, [this](const auto& entry) {
+        std::erase_if(m_pendingLoads, [this](const auto& entry) {
             const auto& [at, model] = entry.second;
             const Host* host = table.find(entry.first);
             if (at > now)
@@ -141,7 +141,7 @@
             }
             return true;
         });
-        std::erase_if(m_unlistedAt, [this](const auto& entry) {
+        std::erase_if(m_unlistTimes, [this](const auto& entry) {
             if (entry.second > now)
                 return false;
             table.unlisted(entry.first);
@@ -150,10 +150,10 @@
     }
 
     Sizes m_sizes;
-    int m_hosts = 0;
-    std::map<std::string, std::pair<MonotonicTime, Membership>> m_joinsEnd; // By host.
-    std::map<std::string, std::pair<MonotonicTime, std::string>> m_loadsEnd;
-    std::map<std::string, MonotonicTime> m_unlistedAt;
+    int m_hostCount = 0;
+    std::map<std::string, std::pair<MonotonicTime, Membership>> m_pendingJoins; // By host.
+    std::map<std::string, std::pair<MonotonicTime, std::string>> m_pendingLoads;
+    std::map<std::string, MonotonicTime> m_unlistTimes;
 };
 
 } // namespace Kumquatpick
--- a/tests/fleet/plannerworld.h
+++ b/tests/fleet/plannerworld.h
@@ -22,7 +22,7 @@
         service.timing.loadsPerSecond = 5;
         service.timing.concurrentLoads = 7;
         for (const ModelSpec& model : service.models)
-            wanted[model.name] = 10;
+            wantedReplicas[model.name] = 10;
     }
 
     void addHost(const std::string& id, const std::string& domain)
@@ -39,29 +39,29 @@
     void run(Milliseconds duration)
     {
         for (MonotonicTime end = now + duration; now < end; now += Milliseconds(100)) {
-            PlannerInput input { now, table, service, wanted,
+            PlannerInput input { now, table, service, wantedReplicas,
                 [this](std::string_view id) {
                     auto found = contacts.find(std::string(id));
-                    return found == contacts.end() ? HostContact::Answers : found->second;
+                    return found == contacts.end() ? HostContact::Reachable : found->second;
                 },
-                [this](std::string_view id) { return still.contains(std::string(id)); }, loadsAreFree };
+                [this](std::string_view id) { return stalledHeads.contains(std::string(id)); }, isBeforeTraffic };
             for (const HostOrder& order : planner.plan(input)) {
                 orders.push_back(order);
-                planner.orderEnded(order, obey(order), now);
+                planner.orderEnded(order, handleOrder(order), now);
             }
-            answerPlanner();
+            reportAwaitedHosts();
         }
     }
 
     // Hosts that the planner waits for report what they are, a moment after it asked.
-    void answerPlanner()
+    void reportAwaitedHosts()
     {
         now += Milliseconds(1);
-        std::set<std::string, std::less<>> awaited = planner.awaited();
-        awaited.insert(planner.awaitedLater().begin(), planner.awaitedLater().end());
-        for (const std::string& id : awaited) {
+        std::set<std::string, std::less<>> polledHosts = planner.hostsToPoll();
+        polledHosts.insert(planner.hostsToPollLater().begin(), planner.hostsToPollLater().end());
+        for (const std::string& id : polledHosts) {
             const Host* host = table.find(id);
-            if (!host || silentReports.contains(id))
+            if (!host || nonReportingHosts.contains(id))
                 continue;
             HostStatus status = host->status;
             status.ordersAccepted = ordersAccepted[id];
@@ -69,12 +69,12 @@
         }
     }
 
-    OrderResult carryOut(const HostOrder& order)
+    OrderResult applyOrder(const HostOrder& order)
     {
         const Host* host = table.find(order.hostId);
         if (!host)
             return OrderResult::Lost;
-        if (order.expectedOrders && *order.expectedOrders != ordersAccepted[order.hostId])
+        if (order.expectedOrderCount && *order.expectedOrderCount != ordersAccepted[order.hostId])
             return OrderResult::Unfit;
         HostStatus status = host->status;
         bool isMember = status.membership && status.membership->isOf(order.replica, order.epoch);
@@ -82,16 +82,16 @@
             return OrderResult::Holds;
         switch (order.kind) {
         case OrderKind::Join: {
-            auto place = std::ranges::find(order.members, order.hostId);
-            bool isLoaded = status.lastModel != order.model
+            auto position = std::ranges::find(order.members, order.hostId);
+            bool mustLoad = status.lastModel != order.model
                 && std::ranges::find(status.stagedModels, order.model) == status.stagedModels.end();
-            if (isLoaded) {
+            if (mustLoad) {
                 ++loadsByJoin;
                 status.stagedModels = { order.model };
             }
             status.model = order.model;
             status.membership = Membership { order.replica, order.epoch,
-                static_cast<uint32_t>(place - order.members.begin()), MemberState::Ready };
+                static_cast<uint32_t>(position - order.members.begin()), MemberState::Ready };
             break;
         }
         case OrderKind::Open:
@@ -133,20 +133,21 @@
     ServiceSpec service;
     HostTable table;
     ReplicaPlanner planner;
-    std::map<std::string, double, std::less<>> wanted;
+    std::map<std::string, double, std::less<>> wantedReplicas;
     std::map<std::string, HostContact> contacts;
-    std::set<std::string> still;
-    std::set<std::string, std::less<>> silentReports; // Hosts that are listed and don't report.
+    std::set<std::string> stalledHeads;
+    std::set<std::string, std::less<>> nonReportingHosts; // Hosts that are listed and don't report.
     std::map<std::string, uint64_t, std::less<>> ordersAccepted; // By the hosts' own count.
-    bool loadsAreFree = true;
-    std::function<OrderResult(const HostOrder&)> obey = [this](const HostOrder& order) { return carryOut(order); };
+    bool isBeforeTraffic = true;
+    std::function<OrderResult(const HostOrder&)> handleOrder
+        = [this](const HostOrder& order) { return applyOrder(order); };
     std::vector<HostOrder> orders;
     int loadsByJoin = 0; // From the weight store.
     int loadsByStage = 0;
     MonotonicTime now { std::chrono::hours(1) };
 };
 
-inline ModelSpec modelOf(std::string name, uint32_t hosts)
+inline ModelSpec makeModel(std::string name, uint32_t hosts)
 {
     ModelSpec model;
     model.name = std::move(name);
--- a/tests/fleet/replicademand_test.cpp
+++ b/tests/fleet/replicademand_test.cpp
@@ -5,7 +5,7 @@
 namespace Kumquatpick {
 
 // Calls that hold sixty places of replicas with seventeen each, filled to six tenths.
-TEST(ReplicaDemand, FollowsTheTrafficWithinSeconds)
+TEST(ReplicaDemand, FollowsTrafficWithinSeconds)
 {
     ReplicaDemand demand;
     constexpr int tenSeconds = 100;
@@ -13,11 +13,11 @@
         demand.observe(60);
     EXPECT_NEAR(demand.replicas(17), 0.5 + 60 / (17 * 0.6), 0.2);
     demand.observe(0);
-    EXPECT_GT(demand.places(), 50) << "one quiet moment changes little";
+    EXPECT_GT(demand.demandedSlots(), 50) << "one quiet moment changes little";
     constexpr int threeSeconds = 30;
     for (int tick = 0; tick < threeSeconds; ++tick)
         demand.observe(0);
-    EXPECT_LT(demand.places(), 20);
+    EXPECT_LT(demand.demandedSlots(), 20);
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/replicalosses_test.cpp
+++ b/tests/fleet/replicalosses_test.cpp
@@ -7,23 +7,23 @@
 namespace {
 
     // How long the model had fewer replicas than that at a stretch; the longest.
-    class Shortage {
+    class ShortageTimer {
     public:
-        explicit Shortage(MonotonicTime start)
-            : m_enoughAt(start)
+        explicit ShortageTimer(MonotonicTime start)
+            : m_lastSufficientAt(start)
         {
         }
 
         void observe(bool isShort, MonotonicTime now)
         {
             if (!isShort)
-                m_enoughAt = now;
-            m_longest = std::max(m_longest, now - m_enoughAt);
+                m_lastSufficientAt = now;
+            m_longest = std::max(m_longest, now - m_lastSufficientAt);
         }
         Milliseconds longest() const { return std::chrono::ceil<Milliseconds>(m_longest); }
 
     private:
-        MonotonicTime m_enoughAt;
+        MonotonicTime m_lastSufficientAt;
         MonotonicTime::duration m_longest {};
     };
 
@@ -33,13 +33,13 @@
 // it needs. Two hosts die every three seconds, each in another replica, and two empty ones come. What a large replica
 // leaves over must become a large one again with the help of pairs that are not needed, rather than further pairs:
 // taken apart into pairs, ten replicas of eight became two within ten seconds and four for the rest of the day.
-TEST(ReplicaLosses, KeepTheLargeModelServingWhileTheSmallOneHasToSpare)
+TEST(ReplicaLosses, LargeModelKeepsServingWhileSmallOneHasSurplus)
 {
     constexpr double wantedLarge = 9;
     LossyWorld world({}, wantedLarge, 40);
     ASSERT_GE(world.serving("large"), 9u);
     ASSERT_GE(world.serving("small"), 40u);
-    Shortage shortage(world.now);
+    ShortageTimer shortage(world.now);
     for (int loss = 0; loss < 10; ++loss) {
         int domain = loss * 2 % 9;
         world.loseMembers(domain, 2);
--- a/tests/fleet/replicaplanner_test.cpp
+++ b/tests/fleet/replicaplanner_test.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-    PlannerWorld pairOfHosts() { return PlannerWorld({ modelOf("small", 2) }); }
+    PlannerWorld worldWithSmallModel() { return PlannerWorld({ makeModel("small", 2) }); }
 
     // Two hosts serve; `spare` is free, so that either of them could join a replica with it.
-    std::unique_ptr<PlannerWorld> servingPair()
+    std::unique_ptr<PlannerWorld> worldWithServingPair()
     {
-        auto world = std::make_unique<PlannerWorld>(std::vector<ModelSpec> { modelOf("small", 2) });
+        auto world = std::make_unique<PlannerWorld>(std::vector<ModelSpec> { makeModel("small", 2) });
         world->addHost("a", "d1");
         world->addHost("b", "d1");
         world->run(Milliseconds(1000));
@@ -28,7 +28,7 @@
 
 TEST(ReplicaPlanner, FormsAndOpensReplicasInsideDomains)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
     for (int i = 0; i < 10; ++i)
         world.addHost("host-" + std::to_string(i), i < 5 ? "d1" : "d2");
     world.run(Milliseconds(2000));
@@ -42,8 +42,8 @@
 // The list names some forty hosts a second: the first plan of 162 hosts begins once all of nine domains are known.
 TEST(ReplicaPlanner, WaitsForHostsThatAppearOneByOne)
 {
-    PlannerWorld world({ modelOf("large", 8), modelOf("small", 2) });
-    world.wanted = { { "large", 10.1 }, { "small", 40.5 } };
+    PlannerWorld world({ makeModel("large", 8), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 10.1 }, { "small", 40.5 } };
     for (int i = 0; i < 162; ++i) {
         world.addHost("host-" + std::to_string(i), "domain-" + std::to_string(i % 9));
         if (i % 4 == 3)
@@ -58,10 +58,10 @@
 
 // Six domains of ten: three are home to the large model and hold six replicas of it; the seventh of the 7.5 that are
 // wanted fits where the small model has enough.
-TEST(ReplicaPlanner, FormsWhatIsWantedBeyondTheHomesOfAModel)
+TEST(ReplicaPlanner, FormsReplicasOutsideAssignedDomainsWhenMoreAreWanted)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 7.5 }, { "small", 15 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 7.5 }, { "small", 15 } };
     for (int i = 0; i < 60; ++i)
         world.addHost("host-" + std::to_string(i), "domain-" + std::to_string(i % 6));
     world.run(Milliseconds(2000));
@@ -73,11 +73,11 @@
 
 TEST(ReplicaPlanner, OpensOnlyOnceEveryMemberIsReady)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
-    world.obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Join && order.hostId == "b" ? OrderResult::Lost : world.carryOut(order);
+    world.handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Join && order.hostId == "b" ? OrderResult::Lost : world.applyOrder(order);
     };
     world.run(Milliseconds(3000));
     EXPECT_TRUE(world.ordersTo("a", OrderKind::Open).empty());
@@ -86,49 +86,49 @@
 }
 
 // The list may be behind: what it shows of a host that held a model before is not enough to join it.
-TEST(ReplicaPlanner, JoinsOnlyHostsThatReportThemselves)
+TEST(ReplicaPlanner, JoinsOnlyHostsThatHaveReported)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
     Host used = *world.table.find("b");
     used.status.stagedModels = { "small" };
     world.table.listed(used, world.now);
-    world.silentReports.insert("b");
+    world.nonReportingHosts.insert("b");
     world.run(Milliseconds(2000));
     EXPECT_TRUE(world.ordersTo("a", OrderKind::Join).empty());
     EXPECT_TRUE(world.ordersTo("b", OrderKind::Join).empty()) << "the list may be behind";
-    world.silentReports.clear();
+    world.nonReportingHosts.clear();
     world.run(Milliseconds(500));
     EXPECT_FALSE(world.ordersTo("a", OrderKind::Join).empty());
 }
 
 // One that is listed as holding nothing is joined without a question, on the condition that it took no order at all;
 // one that did refuses, and is joined only once it has reported itself.
-TEST(ReplicaPlanner, JoinsAHostThatHoldsNothingOnlyIfItTookNoOrder)
+TEST(ReplicaPlanner, JoinsBlankHostOnlyIfItAcceptedNoOrder)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
     world.ordersAccepted["b"] = 3;
-    world.silentReports = { "a", "b" };
+    world.nonReportingHosts = { "a", "b" };
     world.run(Milliseconds(2000));
     auto joins = world.ordersTo("b", OrderKind::Join);
     ASSERT_EQ(joins.size(), 1u);
-    EXPECT_EQ(joins[0].expectedOrders, 0u);
+    EXPECT_EQ(joins[0].expectedOrderCount, 0u);
     EXPECT_FALSE(world.table.find("b")->status.membership) << "it refused";
-    world.silentReports.clear();
+    world.nonReportingHosts.clear();
     world.run(Milliseconds(1000));
     EXPECT_EQ(world.openReplicas().size(), 1u);
 }
 
 // One day the store's answers were seconds old: its list showed the head of an open replica as it was before it joined,
 // and as no order had reached the host since its last report, the join's condition held.
-TEST(ReplicaPlanner, BelievesNoOldListThatAHostIsFree)
+TEST(ReplicaPlanner, IgnoresStaleListEntryThatShowsHostAsFree)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     world->orders.clear();
-    world->silentReports = { "a", "b" };
+    world->nonReportingHosts = { "a", "b" };
     world->run(Milliseconds(2000));
     for (const char* id : { "a", "b" }) {
         Host old = *world->table.find(id);
@@ -143,32 +143,32 @@
 
 // 760 hosts in 40 domains of nineteen. Loads go on by themselves while control changes twice: what two earlier
 // controllers began is finished, and none of its hosts loads anew.
-TEST(ReplicaPlanner, FinishesWhatEarlierControllersWereForming)
+TEST(ReplicaPlanner, CompletesFormationsOfEarlierControllers)
 {
     LargeWorld world;
     world.run(Milliseconds(1500));
-    world.changeController();
+    world.replaceController();
     world.run(Milliseconds(900));
-    world.changeController();
+    world.replaceController();
     world.run(Milliseconds(20'000));
     EXPECT_EQ(world.joiningHosts(), 0u) << "every formation is finished or freed";
     EXPECT_GE(world.openHosts(), 600u);
-    EXPECT_EQ(world.leavesOfJoined, 0) << "none was taken apart";
-    EXPECT_LE(world.mostJoinsAtOnce, 96u + 8u) << "a node can send no more in a tenth of a second";
+    EXPECT_EQ(world.leavesOfMembers, 0) << "none was taken apart";
+    EXPECT_LE(world.largestJoinBatch, 96u + 8u) << "a node can send no more in a tenth of a second";
 }
 
 // What an earlier controller had only half ordered is freed within three seconds.
-TEST(ReplicaPlanner, FreesWhatAnEarlierControllerLeftIncomplete)
+TEST(ReplicaPlanner, DissolvesIncompleteFormationOfEarlierController)
 {
-    PlannerWorld world({ modelOf("large", 4) });
+    PlannerWorld world({ makeModel("large", 4) });
     for (const char* id : { "a", "b", "c", "d" })
         world.addHost(id, "d1");
-    world.obey
-        = [&](const HostOrder& order) { return order.hostId == "d" ? OrderResult::Lost : world.carryOut(order); };
+    world.handleOrder
+        = [&](const HostOrder& order) { return order.hostId == "d" ? OrderResult::Lost : world.applyOrder(order); };
     world.run(Milliseconds(1000));
     ASSERT_TRUE(world.table.find("a")->status.membership);
     std::string earlier = world.table.find("a")->status.membership->replica;
-    world.obey = [&](const HostOrder& order) { return world.carryOut(order); };
+    world.handleOrder = [&](const HostOrder& order) { return world.applyOrder(order); };
     world.planner = ReplicaPlanner(8);
     world.run(Milliseconds(3000));
     ASSERT_EQ(world.openReplicas().size(), 1u);
@@ -176,35 +176,35 @@
 }
 
 // Another controller, or an order carried out late, was there first.
-TEST(ReplicaPlanner, JoinsAHostThatAcceptedAnotherOrderByItsNewCount)
+TEST(ReplicaPlanner, RetriesRefusedJoinWithReportedOrderCount)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
-    world.obey = [&](const HostOrder& order) {
+    world.handleOrder = [&](const HostOrder& order) {
         if (order.kind == OrderKind::Join && order.hostId == "b" && world.ordersTo("b", OrderKind::Join).size() == 1)
             ++world.ordersAccepted["b"];
-        return world.carryOut(order);
+        return world.applyOrder(order);
     };
     world.run(Milliseconds(2000));
     auto joins = world.ordersTo("b", OrderKind::Join);
     ASSERT_EQ(joins.size(), 2u);
-    EXPECT_EQ(joins[0].expectedOrders, 0u);
-    EXPECT_EQ(joins[1].expectedOrders, 1u) << "by what it reports then";
+    EXPECT_EQ(joins[0].expectedOrderCount, 0u);
+    EXPECT_EQ(joins[1].expectedOrderCount, 1u) << "by what it reports then";
     EXPECT_EQ(joins[0].epoch, joins[1].epoch) << "the other members need not load anew";
     EXPECT_EQ(world.openReplicas().size(), 1u);
 }
 
 // The second join is refused as the host has accepted an order since: the first one.
-TEST(ReplicaPlanner, GoesOnWithAHostWhoseFirstJoinWasCarriedOutUnanswered)
+TEST(ReplicaPlanner, KeepsFormationWhenAnswerToFirstJoinIsLost)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
-    world.silentReports.insert("b");
+    world.nonReportingHosts.insert("b");
     world.table.reported("b", HostStatus { 0, {}, {}, {}, {}, "d1" }, world.now);
-    world.obey = [&](const HostOrder& order) {
-        OrderResult result = world.carryOut(order);
+    world.handleOrder = [&](const HostOrder& order) {
+        OrderResult result = world.applyOrder(order);
         bool isFirst = order.kind == OrderKind::Join && world.ordersTo(order.hostId, OrderKind::Join).size() == 1;
         return isFirst && order.hostId == "b" ? OrderResult::Lost : result;
     };
@@ -213,13 +213,13 @@
     EXPECT_EQ(world.ordersTo("a", OrderKind::Join).size(), 1u) << "the same replica";
 }
 
-TEST(ReplicaPlanner, TakesTheHeadOutBeforeItsMembersMove)
+TEST(ReplicaPlanner, OrdersHeadToLeaveBeforeMembersJoinElsewhere)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
-    world->still.insert(head);
-    world->contacts[member] = HostContact::Silent;
+    world->stalledHeads.insert(head);
+    world->contacts[member] = HostContact::Unreachable;
     world->orders.clear();
     world->run(Milliseconds(500));
     ASSERT_FALSE(world->orders.empty());
@@ -230,9 +230,9 @@
 }
 
 // It holds nothing of before and its count of orders starts anew; the others of its replica are free at once.
-TEST(ReplicaPlanner, RebuildsTheReplicaOfAHeadThatStartedAgain)
+TEST(ReplicaPlanner, ReformsReplicaAfterHeadRestart)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
     Host again = *world->table.find(head);
@@ -246,22 +246,22 @@
     world->run(Milliseconds(2500));
     auto joins = world->ordersTo(again.id, OrderKind::Join);
     ASSERT_FALSE(joins.empty());
-    EXPECT_EQ(joins.front().expectedOrders, 0u);
+    EXPECT_EQ(joins.front().expectedOrderCount, 0u);
     ASSERT_FALSE(world->openReplicas().empty());
     EXPECT_TRUE(world->ordersTo(head, OrderKind::Join).empty());
 }
 
 // A head that drains stops listening, then finishes what it has: its members are not free before it has ended.
-TEST(ReplicaPlanner, KeepsMembersOfADrainingHeadThatStoppedListening)
+TEST(ReplicaPlanner, KeepsMembersUntilDrainingHeadHasEnded)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
     Host draining = *world->table.find(head);
     draining.draining = true;
     world->table.listed(draining, world->now);
     world->contacts[head] = HostContact::Refused;
-    world->still.insert(head);
+    world->stalledHeads.insert(head);
     world->orders.clear();
     world->run(Milliseconds(5000));
     EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty());
@@ -270,9 +270,9 @@
     EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty()) << "its entry goes when it has ended";
 }
 
-TEST(ReplicaPlanner, FreesMembersOfACrashedHeadSoon)
+TEST(ReplicaPlanner, FreesMembersOfCrashedHead)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
     world->contacts[head] = HostContact::Refused;
@@ -285,13 +285,13 @@
 
 // A head that no node reaches may be alive and open behind a partition, now and after it heals: a member may only
 // join another replica once it has left this one.
-TEST(ReplicaPlanner, HasMembersLeaveAHeadThatNobodyReaches)
+TEST(ReplicaPlanner, OrdersMembersToLeaveUnreachableHead)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
-    world->still.insert(head);
-    world->contacts[head] = HostContact::SilentToAll;
+    world->stalledHeads.insert(head);
+    world->contacts[head] = HostContact::UnreachableByAll;
     world->orders.clear();
     world->run(Milliseconds(1500));
     ASSERT_FALSE(world->ordersTo(member, OrderKind::Leave).empty());
@@ -301,15 +301,15 @@
     EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "it would not arrive";
 }
 
-TEST(ReplicaPlanner, NeverMovesAMemberThatHasNotLeft)
+TEST(ReplicaPlanner, DoesNotJoinMemberElsewhereBeforeItHasLeft)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
-    world->still.insert(head);
-    world->contacts[head] = HostContact::SilentToAll;
-    world->obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Leave ? OrderResult::Lost : world->carryOut(order);
+    world->stalledHeads.insert(head);
+    world->contacts[head] = HostContact::UnreachableByAll;
+    world->handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Leave ? OrderResult::Lost : world->applyOrder(order);
     };
     world->table.unlisted(head);
     world->run(Milliseconds(20'000));
@@ -317,11 +317,11 @@
 }
 
 // One node does not reach the head, others do: it goes on serving them.
-TEST(ReplicaPlanner, KeepsAReplicaWhoseHeadOthersReach)
+TEST(ReplicaPlanner, KeepsReplicaWhoseHeadOtherNodesReach)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
-    world->contacts[head] = HostContact::Silent;
+    world->contacts[head] = HostContact::Unreachable;
     world->orders.clear();
     world->run(Milliseconds(3000));
     EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty());
@@ -330,9 +330,9 @@
 
 // A partition from the store alone: one host in nine lost its entry within a second, and each took its replica along
 // though it answered all the while, 60 of 131 replicas in all.
-TEST(ReplicaPlanner, KeepsAReplicaWhoseMemberLostOnlyItsWayToTheStore)
+TEST(ReplicaPlanner, KeepsReplicaWhoseUnlistedMemberStillAnswers)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string member = memberOf(*world);
     world->table.unlisted(member);
     world->orders.clear();
@@ -341,15 +341,15 @@
         EXPECT_TRUE(world->ordersTo(id, OrderKind::Leave).empty());
         EXPECT_TRUE(world->ordersTo(id, OrderKind::Close).empty());
     }
-    EXPECT_TRUE(world->planner.awaited().contains(member)) << "it is asked all the while";
+    EXPECT_TRUE(world->planner.hostsToPoll().contains(member)) << "it is asked all the while";
     world->contacts[member] = HostContact::Refused;
     world->run(Milliseconds(1000));
     EXPECT_FALSE(world->ordersTo(headOf(*world), OrderKind::Leave).empty()) << "it has ended";
 }
 
-TEST(ReplicaPlanner, ClosesAReplicaWhoseMemberLeavesAndLetsItFinish)
+TEST(ReplicaPlanner, ClosesReplicaOfDrainingMemberWithoutDissolvingIt)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     Host leaving = *world->table.find(memberOf(*world));
     leaving.draining = true;
@@ -362,10 +362,10 @@
 
 // Two hosts of a large replica are lost. All hosts hold both models, so a small replica of the domain gives way and the
 // large one is whole again without a load, which would take twelve to sixteen seconds here.
-TEST(ReplicaPlanner, RebuildsALostReplicaWithoutALoad)
+TEST(ReplicaPlanner, RebuildsReplicaWithoutLoad)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 2 }, { "small", 6 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 2 }, { "small", 6 } };
     for (int i = 0; i < 20; ++i)
         world.addHost("host-" + std::to_string(i), i < 10 ? "d1" : "d2");
     world.run(Milliseconds(2000));
@@ -376,12 +376,12 @@
     EXPECT_EQ(world.loadsByStage, 20) << "each host holds two models before traffic";
     auto large = std::ranges::find(replicas, std::string("large"), &ReplicaView::model);
     ASSERT_NE(large, replicas.end());
-    world.loadsAreFree = false;
-    world.wanted = { { "large", 3 }, { "small", 4 } };
+    world.isBeforeTraffic = false;
+    world.wantedReplicas = { { "large", 3 }, { "small", 4 } };
     world.loadsByJoin = 0;
     for (const Host* lost : { large->members[1], large->members[2] })
-        world.contacts[lost->id] = HostContact::Silent;
-    world.still.insert(large->head->id);
+        world.contacts[lost->id] = HostContact::Unreachable;
+    world.stalledHeads.insert(large->head->id);
     world.run(Milliseconds(4000));
     EXPECT_EQ(std::ranges::count(world.openReplicas(), std::string("large"), &ReplicaView::model), 2);
     EXPECT_EQ(world.loadsByJoin, 0);
@@ -389,10 +389,10 @@
 
 // Three idle hosts hold the large model, of which a replica takes four, and no new host comes: each replica loses one
 // member in turn until then. Two of them load the small model and serve again.
-TEST(ReplicaPlanner, StuckHostsLoadWhatTheyCanServeTogether)
+TEST(ReplicaPlanner, StrandedIdleHostsLoadAnotherModel)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 5 }, { "small", 5 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 5 }, { "small", 5 } };
     for (int i = 0; i < 3; ++i) {
         std::string id = "host-" + std::to_string(i);
         world.addHost(id, "d1");
@@ -406,7 +406,7 @@
         status.membership.reset();
         world.table.reported(id, status, world.now += Milliseconds(1));
     }
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     world.run(Milliseconds(3000));
     ASSERT_EQ(world.openReplicas().size(), 1u);
     EXPECT_EQ(world.openReplicas()[0].model, "small");
@@ -417,15 +417,15 @@
 TEST(ReplicaPlanner, ShiftsInSeveralDomainsOfALargeFleet)
 {
     LargeWorld world;
-    world.wanted = { { "large", 5 }, { "small", 150 } };
+    world.wantedReplicas = { { "large", 5 }, { "small", 150 } };
     world.run(Milliseconds(25'000));
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     auto largeReplicas = [&] {
         return std::ranges::count_if(
             world.openReplicas(), [](const ReplicaView& replica) { return replica.model == "large"; });
     };
     auto before = largeReplicas();
-    world.wanted = { { "large", 60 }, { "small", 80 } };
+    world.wantedReplicas = { { "large", 60 }, { "small", 80 } };
     world.run(Milliseconds(5000));
     EXPECT_GE(largeReplicas() - before, 12) << "one at a time makes four or five in this time";
 }
@@ -433,7 +433,7 @@
 // One host that gives no report of itself keeps its own domain waiting, and no other.
 TEST(ReplicaPlanner, FormsInOtherDomainsWhileOneWaitsForAReport)
 {
-    PlannerWorld world({ modelOf("large", 4) });
+    PlannerWorld world({ makeModel("large", 4) });
     for (int i = 0; i < 12; ++i)
         world.addHost("host-" + std::to_string(i), "domain-" + std::to_string(i % 3));
     for (int i = 0; i < 12; ++i) {
@@ -441,22 +441,22 @@
         used.status.stagedModels = { "large" };
         world.table.listed(used, world.now);
     }
-    world.loadsAreFree = false;
-    world.silentReports.insert("host-0"); // Of the first domain, so that it is the first choice.
+    world.isBeforeTraffic = false;
+    world.nonReportingHosts.insert("host-0"); // Of the first domain, so that it is the first choice.
     world.run(Milliseconds(1000));
     EXPECT_EQ(world.openReplicas().size(), 2u);
 }
 
 // Nineteen hosts: two replicas of eight and three spares. A lost member's place is taken by a spare at once, as that
 // holds the same model; the seven that are left never become replicas of four.
-TEST(ReplicaPlanner, SparesMakeALargeReplicaWholeAgain)
+TEST(ReplicaPlanner, SpareHostsReplaceLostMembersOfLargeReplica)
 {
-    PlannerWorld world({ modelOf("large", 8), modelOf("small", 4) });
-    world.wanted = { { "large", 3 }, { "small", 1 } };
+    PlannerWorld world({ makeModel("large", 8), makeModel("small", 4) });
+    world.wantedReplicas = { { "large", 3 }, { "small", 1 } };
     for (int i = 0; i < 19; ++i)
         world.addHost("host-" + std::to_string(i), "d1");
     world.run(Milliseconds(3000));
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     auto largeReplicas = [&] {
         return std::ranges::count_if(
             world.openReplicas(), [](const ReplicaView& replica) { return replica.model == "large"; });
@@ -479,15 +479,15 @@
 
 TEST(ReplicaPlanner, FormsNoReplicaOfColdHostsDuringTraffic)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 5 }, { "small", 1 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 5 }, { "small", 1 } };
     for (int i = 0; i < 3; ++i)
         world.addHost("host-" + std::to_string(i), "d1");
     world.run(Milliseconds(2000));
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     world.addHost("cold", "d1");
-    world.obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Stage ? OrderResult::Accepted : world.carryOut(order);
+    world.handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Stage ? OrderResult::Accepted : world.applyOrder(order);
     };
     world.run(Milliseconds(3000));
     EXPECT_TRUE(world.ordersTo("cold", OrderKind::Join).empty());
@@ -497,12 +497,12 @@
 }
 
 // It loads for an earlier controller. Asked at each turn, it once got 93 orders on one day.
-TEST(ReplicaPlanner, LeavesAHostThatRefusesALoadAloneForAWhile)
+TEST(ReplicaPlanner, DelaysRetryAfterRefusedLoad)
 {
-    PlannerWorld world({ modelOf("small", 2) });
-    world.loadsAreFree = false;
-    world.obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Stage ? OrderResult::Unfit : world.carryOut(order);
+    PlannerWorld world({ makeModel("small", 2) });
+    world.isBeforeTraffic = false;
+    world.handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Stage ? OrderResult::Unfit : world.applyOrder(order);
     };
     world.addHost("busy", "d1");
     world.run(Milliseconds(2500));
@@ -512,14 +512,14 @@
 }
 
 // The weight store shares its rate: with more loads at once than it takes, none is done soon.
-TEST(ReplicaPlanner, BeginsNoMoreLoadsThanTheWeightStoreTakes)
+TEST(ReplicaPlanner, LimitsConcurrentLoadsFromWeightStore)
 {
-    PlannerWorld world({ modelOf("small", 2) });
-    world.loadsAreFree = false;
+    PlannerWorld world({ makeModel("small", 2) });
+    world.isBeforeTraffic = false;
     world.service.timing.concurrentLoads = 4;
-    world.obey = [&](const HostOrder& order) {
+    world.handleOrder = [&](const HostOrder& order) {
         bool isLoad = order.kind == OrderKind::Join || order.kind == OrderKind::Stage;
-        return isLoad ? OrderResult::Accepted : world.carryOut(order);
+        return isLoad ? OrderResult::Accepted : world.applyOrder(order);
     };
     for (int i = 0; i < 20; ++i)
         world.addHost("host-" + std::to_string(i), "d1");
@@ -534,12 +534,12 @@
 
 TEST(ReplicaPlanner, LaterControllersUseHigherEpochs)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
     world.run(Milliseconds(1000));
     uint64_t epoch = world.openReplicas().at(0).epoch;
-    PlannerWorld later = pairOfHosts();
+    PlannerWorld later = worldWithSmallModel();
     later.planner = ReplicaPlanner(8);
     later.addHost("a", "d1");
     later.addHost("b", "d1");
--- a/tests/fleet/replicashift_test.cpp
+++ b/tests/fleet/replicashift_test.cpp
@@ -10,7 +10,7 @@
     // Hosts of two domains as a test places them. Every host holds both models unless it is named in `cold`.
     class ReplicaShiftTest : public testing::Test {
     protected:
-        ReplicaShiftTest() { m_service.models = { modelOf("large", 4), modelOf("small", 2) }; }
+        ReplicaShiftTest() { m_service.models = { makeModel("large", 4), makeModel("small", 2) }; }
 
         void addReplica(const std::string& domain, const std::string& model)
         {
@@ -21,7 +21,7 @@
             for (uint32_t i = 0; i < m_service.model(model)->hostsPerReplica; ++i)
                 replica.members.push_back(addHost());
             replica.head = replica.members.front();
-            ++m_have[model];
+            ++m_replicaCounts[model];
         }
 
         const Host* addHost()
@@ -38,34 +38,35 @@
             for (const char* name : { "d1", "d2" }) {
                 ShiftDomain& domain = domains.emplace_back();
                 domain.name = name;
-                domain.freeHosts = m_free[name];
+                domain.freeHosts = m_freeHosts[name];
                 for (const ReplicaView& replica : m_replicas[name])
                     domain.replicas.push_back(&replica);
             }
-            return chooseShift({ m_service, m_wanted, m_have, domains, holds() });
+            return chooseShift({ m_service, m_wantedReplicas, m_replicaCounts, domains, holds() });
         }
 
         // Of the first domain, for a replica of this model.
-        bool areKept(const std::string& model) const
+        bool areReserved(const std::string& model) const
         {
             ShiftDomain domain;
-            domain.freeHosts = m_free.at("d1");
+            domain.freeHosts = m_freeHosts.at("d1");
             for (const ReplicaView& replica : m_replicas.at("d1"))
                 domain.replicas.push_back(&replica);
-            return areKeptForLarger({ m_service, m_wanted, m_have, {}, holds() }, domain, *m_service.model(model));
+            return areReservedForLarger(
+                { m_service, m_wantedReplicas, m_replicaCounts, {}, holds() }, domain, *m_service.model(model));
         }
 
         std::function<bool(const Host&, std::string_view)> holds() const
         {
-            return [this](const Host& host, std::string_view) { return !m_cold.contains(host.id); };
+            return [this](const Host& host, std::string_view) { return !m_coldHosts.contains(host.id); };
         }
 
         ServiceSpec m_service;
-        std::map<std::string, double, std::less<>> m_wanted { { "large", 2 }, { "small", 3 } };
+        std::map<std::string, double, std::less<>> m_wantedReplicas { { "large", 2 }, { "small", 3 } };
         std::map<std::string, std::vector<ReplicaView>> m_replicas;
-        std::map<std::string, std::vector<const Host*>> m_free;
-        std::map<std::string, uint32_t> m_have;
-        std::set<std::string> m_cold;
+        std::map<std::string, std::vector<const Host*>> m_freeHosts;
+        std::map<std::string, uint32_t> m_replicaCounts;
+        std::set<std::string> m_coldHosts;
 
     private:
         std::vector<std::unique_ptr<Host>> m_hosts;
@@ -75,11 +76,11 @@
 }
 
 // A large replica lost one of its four hosts: with one pair that gives way, the other three serve again.
-TEST_F(ReplicaShiftTest, TakesTheFewestReplicasThatAreEnough)
+TEST_F(ReplicaShiftTest, ChoosesFewestSufficientReplicas)
 {
     for (const char* domain : { "d1", "d1", "d1", "d2", "d2", "d2" })
         addReplica(domain, "small");
-    m_free["d2"] = { addHost(), addHost(), addHost() };
+    m_freeHosts["d2"] = { addHost(), addHost(), addHost() };
     auto shift = choose();
     ASSERT_TRUE(shift);
     EXPECT_EQ(shift->domain, "d2");
@@ -87,13 +88,13 @@
     EXPECT_EQ(shift->replicas.size(), 1u);
 }
 
-TEST_F(ReplicaShiftTest, TakesNothingFromAModelThatIsAsShort)
+TEST_F(ReplicaShiftTest, DoesNotShiftFromModelWithEqualNeed)
 {
     for (const char* domain : { "d1", "d1", "d2", "d2" })
         addReplica(domain, "small");
-    m_wanted = { { "large", 2 }, { "small", 9 } };
+    m_wantedReplicas = { { "large", 2 }, { "small", 9 } };
     EXPECT_FALSE(choose()) << "with two fewer, small would need one as much";
-    m_wanted = { { "large", 0.9 }, { "small", 0.1 } };
+    m_wantedReplicas = { { "large", 0.9 }, { "small", 0.1 } };
     EXPECT_FALSE(choose()) << "the traffic would not fill one";
 }
 
@@ -102,57 +103,57 @@
 {
     for (const char* domain : { "d1", "d1", "d1" })
         addReplica(domain, "small");
-    m_wanted["small"] = 1;
-    m_cold = { "0", "2" };
+    m_wantedReplicas["small"] = 1;
+    m_coldHosts = { "0", "2" };
     EXPECT_FALSE(choose());
-    m_cold = { "0" };
+    m_coldHosts = { "0" };
     auto shift = choose();
     ASSERT_TRUE(shift);
     EXPECT_EQ(shift->replicas.size(), 2u);
 }
 
-TEST_F(ReplicaShiftTest, LeavesFreeHostsToThemselves)
+TEST_F(ReplicaShiftTest, DoesNotShiftWhenFreeHostsSuffice)
 {
     addReplica("d1", "small");
-    m_free["d2"] = { addHost(), addHost(), addHost(), addHost() };
+    m_freeHosts["d2"] = { addHost(), addHost(), addHost(), addHost() };
     EXPECT_FALSE(choose());
 }
 
 // A large replica lost one of its four hosts while the small model has more than its calls fill.
-TEST_F(ReplicaShiftTest, KeepsFreeHostsForALargerModelThatAPairCompletes)
+TEST_F(ReplicaShiftTest, ReservesFreeHostsForLargerModelCompletedByAPair)
 {
-    m_free["d1"] = { addHost(), addHost(), addHost() };
+    m_freeHosts["d1"] = { addHost(), addHost(), addHost() };
     for (int i = 0; i < 4; ++i)
         addReplica("d1", "small");
-    EXPECT_TRUE(areKept("small"));
-    EXPECT_FALSE(areKept("large"));
-    m_wanted["small"] = 9;
-    EXPECT_FALSE(areKept("small")) << "it is short itself";
-    m_wanted = { { "large", 0.9 }, { "small", 3 } };
-    EXPECT_FALSE(areKept("small")) << "the larger model needs none";
+    EXPECT_TRUE(areReserved("small"));
+    EXPECT_FALSE(areReserved("large"));
+    m_wantedReplicas["small"] = 9;
+    EXPECT_FALSE(areReserved("small")) << "it is short itself";
+    m_wantedReplicas = { { "large", 0.9 }, { "small", 3 } };
+    EXPECT_FALSE(areReserved("small")) << "the larger model needs none";
 }
 
-TEST_F(ReplicaShiftTest, KeepsNothingForWhatTheDomainCannotComplete)
+TEST_F(ReplicaShiftTest, ReservesNothingIfDomainCannotCompleteLargerReplica)
 {
-    m_free["d1"] = { addHost(), addHost() };
+    m_freeHosts["d1"] = { addHost(), addHost() };
     addReplica("d1", "small");
-    m_wanted = { { "large", 2 }, { "small", 0.5 } };
-    EXPECT_TRUE(areKept("small")) << "with the pair, the model of four has its hosts";
-    m_cold = { "2" };
-    EXPECT_FALSE(areKept("small")) << "a host of the pair would have to load";
+    m_wantedReplicas = { { "large", 2 }, { "small", 0.5 } };
+    EXPECT_TRUE(areReserved("small")) << "with the pair, the model of four has its hosts";
+    m_coldHosts = { "2" };
+    EXPECT_FALSE(areReserved("small")) << "a host of the pair would have to load";
 }
 
 // Four replicas that give way to one stop no more hosts from serving than two larger ones.
-TEST_F(ReplicaShiftTest, AsksForAsMuchOfPairsAsOfAReplicaOfAsManyHosts)
+TEST_F(ReplicaShiftTest, RequiresSameMarginForPairsAsForOneReplicaOfEqualSize)
 {
-    m_service.models = { modelOf("large", 8), modelOf("small", 2) };
+    m_service.models = { makeModel("large", 8), makeModel("small", 2) };
     for (int i = 0; i < 4; ++i)
         addReplica("d1", "small");
-    m_wanted = { { "large", 4 }, { "small", 1.9 } };
+    m_wantedReplicas = { { "large", 4 }, { "small", 1.9 } };
     auto shift = choose();
     ASSERT_TRUE(shift) << "twice the need is enough, also of four pairs";
     EXPECT_EQ(shift->replicas.size(), 4u);
-    m_wanted["large"] = 3;
+    m_wantedReplicas["large"] = 3;
     EXPECT_FALSE(choose());
 }
 
