--- a/src/fleet/domainassignment.cpp
+++ b/src/fleet/domainassignment.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-    // In hosts: what moving a domain's home must gain, so that small changes of traffic move none.
+    // Number of hosts by which another domain must be better before an assignment changes, so that small changes of
+    // traffic change none.
     constexpr double reassignmentThreshold = 3;
 
     struct Domain {
         std::string name;
         double hosts = 0;
         std::map<std::string, double, std::less<>>
-            hostsByModel; // Hosts by the model that they ran last, or have staged.
+            hostsByModel; // Hosts by the model they ran last or, if none, staged.
     };
 
     std::vector<Domain> domainsOfService(const HostTable& table, std::string_view service)
@@ -26,7 +27,7 @@
             Domain& domain = domains[host.status.domain];
             domain.name = host.status.domain;
             ++domain.hosts;
-            // What else a host that ran a model has staged is only its second choice.
+            // The staged copy of a host that ran a model is only its second choice.
             if (!host.status.lastModel.empty())
                 ++domain.hostsByModel[host.status.lastModel];
             else if (!host.status.stagedModels.empty())
@@ -47,7 +48,7 @@
     return found == m_assignedModels.end() ? std::string_view() : found->second;
 }
 
-// The model with the largest replicas first, as it is the one that small remainders are of no use to.
+// Models with larger replicas are assigned first, as they cannot use small numbers of remaining hosts.
 void DomainAssignment::assign(const HostTable& table, const ServiceSpec& service,
     const std::map<std::string, double, std::less<>>& wantedReplicas)
 {
--- a/src/fleet/domainassignment.h
+++ b/src/fleet/domainassignment.h
@@ -10,15 +10,14 @@
 
 namespace Kumquatpick {
 
-// Which model each fabric domain is home to. Replicas of one model in one domain help each other: what a lost member
-// leaves over, together with the domain's spare hosts, makes a whole replica again without a load from the weight
-// store.
+// Assigns each fabric domain to a model. With replicas of one model in one domain, the remaining hosts of a replica
+// that lost a member form a complete replica with the domain's spare hosts, without a load from the weight store.
 class DomainAssignment {
 public:
-    // Shares the domains out by the hosts that each model's wanted replicas take, where most of what a domain's hosts
-    // ran stays of use.
+    // Assigns domains in proportion to the hosts that each model's wanted replicas need. Prefers domains whose hosts
+    // already ran the model.
     void assign(const HostTable&, const ServiceSpec&, const std::map<std::string, double, std::less<>>& wantedReplicas);
-    // Empty for a domain that is not known.
+    // Empty for an unknown domain.
     std::string_view assignedModel(std::string_view domain) const;
 
 private:
--- a/src/fleet/modelstaging.cpp
+++ b/src/fleet/modelstaging.cpp
@@ -6,21 +6,22 @@
 
 namespace {
 
-    // Of the weight store's loads, for second models: cold hosts go first.
+    // Limit of concurrent loads for second models, as loads of cold hosts have priority.
     constexpr uint32_t maxSecondModelLoads = 2;
     constexpr Milliseconds maxStagingDuration { 60'000 };
-    // A host that refuses is loading already, for an earlier controller; it may take as long as a load. One that was
-    // asked at each turn used up what other hosts might have loaded.
+    // A host that refuses is already loading for an earlier controller, which may last as long as a load. Orders sent
+    // to it in every plan used up the load rate of other hosts.
     constexpr Milliseconds refusalRetryDelay { 3000 };
-    // Loads that may begin at the same moment, of those that a few seconds allow.
+    // Capacity of the token bucket that limits the rate of loads.
     constexpr double loadBurst = 5;
-    // What a load is worth on an idle host that has a model already: that one may find its replica by itself.
+    // Value of a load on an idle host that already holds a model, relative to a cold host: it may find a replica
+    // without the load.
     constexpr double warmHostValueFactor = 0.5;
-    // Spare hosts that a domain keeps for each of its replicas of a model: several hosts are often lost within the
-    // seconds that it takes to load another spare.
+    // Spare hosts that a domain keeps for each replica of a model: several hosts are often lost in the time that the
+    // load of another spare takes.
     constexpr uint32_t sparesPerReplica = 2;
 
-    // Empty if the host has one, or ran none yet.
+    // The model to stage beside the host's last one. Empty if it has a second model already or has run none yet.
     std::string_view secondModel(const ServiceSpec& service, const Host& host, const ModelNeeds& needs)
     {
         bool isJoining = host.status.membership && host.status.membership->state == MemberState::Joining;
@@ -62,9 +63,9 @@
     std::erase_if(m_refusedAt, [&](const auto& entry) { return input.now - entry.second >= refusalRetryDelay; });
 }
 
-// Whether a spare host that holds the model could take the place of a host that one of the domain's replicas loses.
-// What is left of a replica of eight is of no use to that model without it: in domains of nineteen, the three spare
-// hosts loaded the model of four, survivors joined them, and 40 replicas of eight became 15 within sixteen seconds.
+// Whether a further spare host with the model is useful to replace a lost member of one of the domain's replicas. The
+// remaining hosts of a replica of eight cannot serve that model without one: in domains of 19, the three spare hosts
+// loaded the model with replicas of four, the remaining hosts joined them, and 40 replicas of eight became 15 in 16 s.
 bool ModelStaging::canReplaceMember(std::string_view domain, const ModelSpec& model, uint32_t spares) const
 {
     auto replicas = m_replicas.find(domain);
@@ -74,8 +75,8 @@
     return count != replicas->second.end() && spares < count->second * sparesPerReplica;
 }
 
-// Whoever is still idle after all replicas were formed is stuck: it holds nothing, or what its domain lacks hosts for.
-// Such hosts load the model that they bring nearest to a further replica, the nearest first.
+// Hosts that are idle after all replicas were formed hold no model, or one for which the domain has too few hosts. They
+// load the model that is then closest to a further replica, the closest first.
 void ModelStaging::stageIdleHosts(
     const PlannerInput& input, const ModelNeeds& needs, const HostsByDomain& freeHosts, std::vector<HostOrder>& orders)
 {
@@ -100,7 +101,7 @@
 {
     const HostStatus& status = host.status;
     bool isCold = status.lastModel.empty() && status.stagedModels.empty();
-    // A load takes the place of the staged copy, which is all that a host has which ran nothing yet.
+    // A load replaces the staged copy, which is the only model of a host that has run none yet.
     bool wouldEvictOnlyCopy = status.lastModel.empty() && !isCold;
     if (wouldEvictOnlyCopy || (!isCold && input.disabledMechanisms.contains(Mechanism::StuckLoads)))
         return;
--- a/src/fleet/modelstaging.h
+++ b/src/fleet/modelstaging.h
@@ -13,25 +13,27 @@
 
 namespace Kumquatpick {
 
-// Which hosts load which model from the weight store onto themselves, beside whatever they do. The weight store fills a
-// few hosts at once and takes twelve to sixteen seconds for each, so the order decides how much of the fleet serves.
+// Chooses which hosts load (stage) which model from the weight store in the background. The weight store serves a few
+// hosts at once and takes 12 to 16 s for each, so the order of loads decides how much of the fleet serves.
 //
-// A host joins the model that it ran last at once, so its staged copy is best of another one: it can then serve either.
-// Before traffic, when loads cost nothing, this makes all hosts exchangeable inside their domains. Not thread-safe.
+// A host joins the model that it ran last without a load, so its staged copy should be of another model: it can then
+// serve either. Before traffic, when loads delay no request, this makes all hosts of a domain interchangeable. Not
+// thread-safe.
 class ModelStaging {
 public:
-    // Replicas that serve or form, by domain and model.
+    // Serving and forming replicas, by domain and model.
     using ReplicasByDomain = std::map<std::string, std::map<std::string, uint32_t, std::less<>>, std::less<>>;
 
-    // Adds orders. freeHosts: those that belong to no replica; otherLoads: in progress for replicas that form.
+    // Appends to orders. freeHosts: hosts that belong to no replica; formationLoads: loads in progress for forming
+    // replicas.
     void plan(const PlannerInput&, const ModelNeeds&, const HostsByDomain& freeHosts, ReplicasByDomain,
         uint32_t formationLoads, std::vector<HostOrder>& orders);
     void orderEnded(const HostOrder&, OrderResult, MonotonicTime now);
 
-    // Whether the host loads a copy of the model, as it was told.
+    // Whether the host was ordered to stage the model and has not finished.
     bool isStaging(const Host&, std::string_view model) const;
     uint32_t loads() const { return static_cast<uint32_t>(m_stagings.size()); }
-    // Idle hosts whose own reports tell when they are done.
+    // Idle hosts that are polled to detect the end of their loads.
     const std::set<std::string, std::less<>>& hostsToPoll() const { return m_hostsToPoll; }
 
 private:
--- a/src/fleet/plannerinput.h
+++ b/src/fleet/plannerinput.h
@@ -14,33 +14,33 @@
 
 namespace Kumquatpick {
 
-// What direct calls to a host say of its life.
+// Result of the recent direct calls to a host.
 enum class HostContact : uint8_t {
-    Unknown, // Not asked lately.
+    Unknown, // Not polled recently.
     Reachable,
-    Unreachable, // No answer: dead, frozen or cut off.
+    Unreachable, // No answer: dead, frozen or partitioned.
     UnreachableByAll, // No answer to any node.
-    Refused, // Nothing listens: the process has ended, or finishes its last work before it does.
-    Ended, // Another life has the address.
+    Refused, // Connection refused: the process has ended, or finishes its last requests.
+    Ended, // The process was replaced by a later start or another host.
 };
 
 struct PlannerInput {
     MonotonicTime now;
     const HostTable& hosts;
     const ServiceSpec& service;
-    // Replicas that the present traffic would fill, by model.
+    // Replicas that the current traffic would fill, by model.
     const std::map<std::string, double, std::less<>>& wantedReplicas;
     std::function<HostContact(std::string_view hostId)> contact;
-    // Heads whose streams stand still, as nodes see it.
+    // Whether nodes report that the streams of this head are stalled.
     std::function<bool(std::string_view hostId)> isStalled;
     bool isBeforeTraffic = false; // Before the first request.
     MechanismsOff disabledMechanisms {};
 
-    // It stays, and no direct call says otherwise.
+    // Whether the host is listed, not draining and not known to be unreachable.
     bool isUsable(std::string_view hostId) const;
 };
 
-// How full a model's replicas would be with one more: what the next one is worth, by model.
+// By model: the utilization of its replicas with one more, which is the value of the next replica.
 using ModelNeeds = std::map<std::string, double, std::less<>>;
 using HostsByDomain = std::map<std::string, std::vector<const Host*>>;
 
--- a/src/fleet/replicademand.cpp
+++ b/src/fleet/replicademand.cpp
@@ -8,10 +8,10 @@
 
     // Demand follows traffic within a few seconds.
     constexpr double smoothingFactor = 0.04;
-    // Replicas answer in time while this share of their places is taken. Letting the share of late first events choose
-    // it for each model gave the large model more hosts than the others could spare under overload.
+    // Replicas answer in time at this utilization of their slots. Adapting it for each model to the share of late first
+    // events gave the large model more hosts than the others could spare under overload.
     constexpr double targetUtilization = 0.6;
-    // One replica beyond what calls fill would stand idle; half of one rounds.
+    // Rounds to the nearest replica; a whole replica more than calls fill would be idle.
     constexpr double roundingOffset = 0.5;
 
 }
--- a/src/fleet/replicademand.h
+++ b/src/fleet/replicademand.h
@@ -4,12 +4,12 @@
 
 namespace Kumquatpick {
 
-// How many replicas of a model the present traffic would fill and still be answered in time. Each node follows it, so
-// that a new controller knows the demand from its first plan on: one that began at nothing took three seconds to see
-// that replicas were short, while two hosts were lost in as many.
+// Estimates how many replicas of a model the current traffic needs for answers in time. Every node tracks it, so that a
+// new controller knows the demand from its first plan on: one that started at zero took three seconds to detect a
+// shortage of replicas, while two hosts were lost in the same time.
 class ReplicaDemand {
 public:
-    // Each 100 ms. Places that calls hold, or would hold had they not been refused, over all nodes.
+    // Called every 100 ms with the slots that calls of all nodes occupy, or would occupy if they had not been refused.
     void observe(double slots);
 
     double replicas(uint32_t capacity) const;
--- a/src/fleet/replicaforming.cpp
+++ b/src/fleet/replicaforming.cpp
@@ -3,28 +3,30 @@
 #include <algorithm>
 #include <fmt/format.h>
 
-// Of the planner: which replicas to form of idle hosts, and which to take apart for a model that is shorter.
+// The part of ReplicaPlanner that chooses which replicas to form from idle hosts, and which to dissolve in favour of a
+// model that needs replicas more.
 
 namespace Kumquatpick {
 
 namespace {
 
-    // A warm load delays a replica by a second or two; joining the model that a host ran last does not.
+    // A warm load delays a replica by one to two seconds; joining the model that a host ran last does not.
     constexpr double warmLoadCost = 0.1;
     constexpr Milliseconds maxShiftDuration { 5000 };
-    // One shift takes three seconds. In forty domains a single one at a time left a model with a seventh of the
-    // replicas that it needed, for half a minute; a small fleet has one all the same.
+    // One shift takes three seconds. With 40 domains and one shift at a time, a model had a seventh of the replicas
+    // that it needed for half a minute. A small fleet is still allowed one.
     constexpr size_t domainsPerShift = 8;
-    // At the very start hosts appear in the list one by one, some forty a second; where each model is at home is
-    // settled once they have. Begun half a second earlier, pairs of early hosts spoilt a domain of ten for the large
-    // model.
+    // At startup hosts appear in the list at some 40 a second. Domains are assigned to models once the number of hosts
+    // stays the same for this long. Half a second earlier, replicas of two early hosts left a domain of ten with too
+    // few hosts for the large model.
     constexpr Milliseconds hostCountStablePeriod { 600 };
-    // Loads are short then and take some three seconds in all. Begun after 3.5 s, when a third of 162 hosts were yet to
-    // appear, pairs took most of their domains: 4 replicas of eight hosts formed of the 10 that were wanted.
+    // Loads before traffic are short and take some three seconds in total. With 3.5 s, a third of 162 hosts were not
+    // yet listed, and replicas of two hosts took most of their domains: 4 of the 10 wanted replicas of eight hosts
+    // formed.
     constexpr Milliseconds maxHostListWait { 7000 };
-    // The orders of a whole fleet in one moment kept a node's event loop for a second. At ten plans a second these are
-    // 760 hosts in 0.8 s. Loads that are free share no rate: held to twice the loads that the weight store runs at once
-    // during traffic, a fleet of 60 hosts had half of its replicas when traffic began.
+    // Sending the orders of a whole fleet at once blocked a node's event loop for a second. At ten plans a second this
+    // limit allows 760 hosts in 0.8 s. Loads before traffic share no rate limit: when they were limited to twice the
+    // weight store's concurrency during traffic, a fleet of 60 hosts had half of its replicas when traffic began.
     constexpr size_t maxJoinsPerPlan = 96;
 
 }
@@ -56,8 +58,8 @@
     return count;
 }
 
-// Once traffic runs, only hosts that hold the model count: hosts are lost faster than the weight store fills new ones,
-// and a replica that waits for one load of sixteen seconds would keep three hosts from serving that long.
+// During traffic only hosts that hold the model are chosen: hosts are lost faster than the weight store can load new
+// ones, and a replica of four that waits for one load of 16 s would keep three hosts from serving for that time.
 std::optional<ReplicaPlanner::Candidate> ReplicaPlanner::candidateIn(
     const PlannerInput& input, const ModelSpec& model, const std::vector<const Host*>& freeHosts) const
 {
@@ -98,7 +100,7 @@
     double bestValue = 0;
     for (const auto& [domain, candidates] : planState.candidates) {
         const ModelSpec* assigned = input.service.model(m_domainAssignment.assignedModel(domain));
-        // Only until that model has what is wanted: what is left of its domains may serve others.
+        // Only until that model has enough replicas; the remaining hosts of its domains may serve other models.
         bool isAssignedFirst = input.isBeforeTraffic && !input.disabledMechanisms.contains(Mechanism::Homes) && assigned
             && planState.freeHosts.at(domain).size() >= assigned->hostsPerReplica && needed.at(assigned->name) > 1;
         for (const Candidate& candidate : candidates) {
@@ -174,7 +176,7 @@
     return result;
 }
 
-// As they will be once the shifts under way are over.
+// The number of replicas by model after the shifts in progress.
 std::map<std::string, uint32_t> ReplicaPlanner::replicasAfterShifts(const PlanState& planState) const
 {
     std::map<std::string, uint32_t> replicaCounts = planState.replicaCounts;
@@ -194,7 +196,7 @@
     return replicaCounts;
 }
 
-// One in each domain, and few at a time: what a shift frees shows in the needs before many more follow.
+// At most one shift in each domain and few in total, so that their effect on the needs is seen before more start.
 void ReplicaPlanner::shiftReplicas(const PlannerInput& input, const PlanState& planState)
 {
     std::erase_if(m_shifts, [&](const auto& entry) { return input.now - entry.second.startedAt > maxShiftDuration; });
@@ -233,7 +235,7 @@
 
 void ReplicaPlanner::formReplicas(const PlannerInput& input, PlanState& planState, std::vector<HostOrder>& orders)
 {
-    // All idle hosts are asked, also those that are not chosen now: the next choice then finds what it needs.
+    // All idle hosts are polled, including those not chosen now, so that later choices need not wait.
     bool allReported = true;
     for (const auto& [domain, hosts] : planState.freeHosts)
         allReported = requireReports(input, hosts) && allReported;
@@ -248,8 +250,8 @@
     while (const Candidate* candidate = bestCandidate(input, planState)) {
         if (joins >= maxJoinsPerPlan)
             return;
-        // A choice that waits for a report of one of its hosts is better than the next best one of its domain. Other
-        // domains go on: after a partition of 86 hosts, 240 stood idle while the best choice waited each time.
+        // Waiting for a report is better than the domain's next best choice. Other domains continue: after a partition
+        // of 86 hosts, 240 stayed idle because every plan stopped at the best choice.
         if (!requireReports(input, candidate->members)) {
             planState.candidates[candidate->members.front()->status.domain].clear();
             continue;
@@ -262,7 +264,7 @@
     m_hostsToPollLater.insert(m_staging.hostsToPoll().begin(), m_staging.hostsToPoll().end());
 }
 
-// The candidate is the view's, which changes with it.
+// The candidate is part of planState and is invalid after its candidates are recomputed.
 void ReplicaPlanner::formReplica(
     const PlannerInput& input, PlanState& planState, const Candidate& candidate, std::vector<HostOrder>& orders)
 {
--- a/src/fleet/replicaplanner.cpp
+++ b/src/fleet/replicaplanner.cpp
@@ -9,30 +9,31 @@
 
     constexpr uint64_t epochsPerLease = 1'000'000;
 
-    // An order is answered within a round trip; one that is not is sent again, as repeating it is harmless.
+    // An order is answered within a round trip. Unanswered orders are sent again, as they are idempotent.
     constexpr Milliseconds orderResendInterval { 700 };
-    // A host that accepted something else meanwhile is joined once more by its new count; one that refuses again and
-    // again has another controller's orders, or its reports are wrong.
+    // A host that accepted another order meanwhile is joined again with its new order count. One that keeps refusing
+    // gets orders from another controller, or its reports are wrong.
     constexpr int maxJoinRefusals = 3;
-    // A host that leaves finishes what its replica has, for as long as engines allow at most; its entry goes when it
-    // has ended. One that ends without notice is not heard of again, and a notice would show within this time.
+    // A leaving host finishes its replica's requests within the time limit of the engines, and its list entry is
+    // removed when it has ended. A host that refuses connections without a leave notice for leaveNoticeTimeout has
+    // crashed: a notice would have arrived by then.
     constexpr Milliseconds maxDrainTime { 10'500 };
     constexpr Milliseconds unlistedDrainTime { 300 };
     constexpr Milliseconds leaveNoticeTimeout { 600 };
-    // Loads share the weight store: one may take several times its own time.
+    // Concurrent loads share the weight store's bandwidth, so one may take several times its nominal time.
     constexpr int maxLoadFactor = 4;
     constexpr Milliseconds formationMargin { 10'000 };
 
-    // Joins of an earlier controller that are on their way show within this time: an order's timeout, the list's lag
-    // and two reads of it.
+    // Joins in flight from an earlier controller become visible within this time: an order's timeout, the list's lag
+    // and two reads of the list.
     constexpr Milliseconds earlierJoinsTimeout { 2200 };
 
-    // Replicas that give way finish what they have for this long; what is longer goes on elsewhere.
+    // Replicas that are replaced may finish requests for this long; longer streams continue at another replica.
     constexpr Milliseconds retireGracePeriod { 600 };
 
     bool isTakingRequests(MemberState state) { return state == MemberState::Open || state == MemberState::Closing; }
 
-    // Of a member that the list dropped: it lost its way to the store, or it is about to end.
+    // For a member that the list dropped: it lost its connection to the store, or it is about to end.
     bool mayServeUnlisted(HostContact contact)
     {
         return contact == HostContact::Unknown || contact == HostContact::Reachable;
@@ -43,7 +44,7 @@
         return contact == HostContact::Unreachable || contact == HostContact::UnreachableByAll;
     }
 
-    // An order that concerns one membership and does nothing to any other.
+    // An order that affects only the membership in this replica and epoch.
     HostOrder membershipOrder(OrderKind kind, std::string_view hostId, std::string_view replica, uint64_t epoch)
     {
         HostOrder order;
@@ -107,7 +108,7 @@
 void ReplicaPlanner::advanceFormation(const PlannerInput& input, Formation& formation, std::vector<HostOrder>& orders)
 {
     const ModelSpec* model = input.service.model(formation.model);
-    // Each is a member already or may become one; another controller may have taken one that refused its join.
+    // Each host is a member or may still join. Another controller may have taken a host that refused its join.
     bool areMembersUsable = std::ranges::all_of(formation.members, [&](const auto& id) {
         const Host* host = input.hosts.find(id);
         return input.isUsable(id) && (host->isMemberOf(formation.replica, formation.epoch) || isIdle(input, *host));
@@ -131,7 +132,7 @@
 
     const Host& head = *input.hosts.find(formation.members.front());
     if (isTakingRequests(head.status.membership->state)) {
-        formation.failed = true; // Served its purpose: the replica is supervised from now on.
+        formation.failed = true; // Complete: the formation is removed and the replica supervised from now on.
         return;
     }
     if (recordSendIfDue(formation.openSentAt, input.now))
@@ -153,7 +154,7 @@
     }
 }
 
-// The head first: an open that is still on its way must find nothing to open.
+// The head leaves first, so that an open order still in flight has no effect.
 void ReplicaPlanner::abandon(const Formation& formation, std::vector<HostOrder>& orders)
 {
     TrackedReplica& tracked = m_trackedReplicas[{ formation.replica, formation.epoch }];
@@ -165,7 +166,7 @@
     }
 }
 
-// An earlier controller's replica whose hosts have all joined: from here on it is a formation of this one.
+// Takes over the formation of a replica of an earlier controller whose hosts have all received their joins.
 bool ReplicaPlanner::adopt(const PlannerInput& input, const ReplicaView& replica)
 {
     const ModelSpec* model = input.service.model(replica.model);
@@ -186,8 +187,8 @@
         if (!isRankValid || !mayForm || !input.isUsable(host->id))
             return false;
         formation.members[rank] = host->id;
-        formation.joins[host->id].sentAt = input.now; // By the earlier controller; so that it drains if this fails.
-        // Its last model is this one already, whether it has it or not.
+        formation.joins[host->id].sentAt = input.now; // By the earlier controller; makes abandon() order a leave.
+        // lastModel is set when the join begins, so it does not show whether the model is loaded.
         if (host->status.membership->state == MemberState::Joining && !host->status.isStaged(formation.model))
             formation.coldMembers.push_back(host->id);
     }
@@ -196,7 +197,7 @@
     return true;
 }
 
-// Some of its hosts may have yet to be heard of. Members alone that are ready tell of a head that left.
+// Some of its hosts may not have reported yet. Ready members without a head mean that the head has left.
 bool ReplicaPlanner::mayStillForm(
     const PlannerInput& input, const ReplicaView& replica, const TrackedReplica& tracked) const
 {
@@ -296,7 +297,7 @@
     }
 }
 
-// To a head that is listed, or that lives on without being listed, as far as it takes orders.
+// Orders a head to leave if it is listed or still answers without being listed, unless it refuses connections.
 void ReplicaPlanner::orderHeadLeave(
     const PlannerInput& input, const ReplicaView& replica, TrackedReplica& tracked, std::vector<HostOrder>& orders)
 {
@@ -308,7 +309,7 @@
         orders.push_back(membershipOrder(OrderKind::Leave, tracked.headId, replica.name, replica.epoch));
 }
 
-// Whether the head can still serve its replica, as far as can be told.
+// Determines whether the head may still serve its replica.
 ReplicaPlanner::HeadStatus ReplicaPlanner::updateHeadStatus(
     const PlannerInput& input, const ReplicaView& replica, TrackedReplica& tracked) const
 {
@@ -327,8 +328,8 @@
     return contact == HostContact::UnreachableByAll ? HeadStatus::Lost : HeadStatus::MayServe;
 }
 
-// A head that leaves stops listening first and ends only after its last request: that nothing listens tells of an end
-// only if it was sudden.
+// A leaving head stops listening first and ends only after its last request. A refused connection therefore shows at
+// once only that a crashed head has ended; others get a time limit.
 bool ReplicaPlanner::hasHeadEnded(const PlannerInput& input, TrackedReplica& tracked, const Host* head) const
 {
     tracked.headRefusedSince = tracked.headRefusedSince.value_or(input.now);
@@ -337,7 +338,7 @@
     return input.now - *tracked.headRefusedSince > limit;
 }
 
-// False if some of them have yet to report what they are.
+// Returns false and polls the hosts that have not reported yet, if there are any.
 bool ReplicaPlanner::requireReports(const PlannerInput& input, const std::vector<const Host*>& hosts)
 {
     bool allReported = true;
@@ -365,7 +366,7 @@
     }
 }
 
-// Member of no replica that may still serve, as far as is known.
+// Usable, and not known to be a member of a replica that may still serve.
 bool ReplicaPlanner::isIdle(const PlannerInput& input, const Host& host) const
 {
     if (host.service != input.service.name || !input.isUsable(host.id))
@@ -386,7 +387,7 @@
     return result;
 }
 
-// Epochs of one controller are its own, so they tell its replicas from others.
+// Epochs are unique to a controller, so the epoch identifies the replica.
 bool ReplicaPlanner::isForming(const ReplicaView& replica) const { return m_formingEpochs.contains(replica.epoch); }
 
 bool ReplicaPlanner::isDissolving(const ReplicaView& replica) const
@@ -395,7 +396,7 @@
     return tracked != m_trackedReplicas.end() && tracked->second.isDissolving;
 }
 
-// Open, and not about to be taken apart.
+// Open and not being dissolved.
 bool ReplicaPlanner::isServing(const PlannerInput& input, const ReplicaView& replica) const
 {
     bool isOpen = replica.service == input.service.name && replica.head
--- a/src/fleet/replicaplanner.h
+++ b/src/fleet/replicaplanner.h
@@ -21,49 +21,50 @@
 
 namespace Kumquatpick {
 
-// Forms, opens, closes and takes apart the replicas of one service: facts and time in, orders out. What it keeps is
-// only what it began itself; a successor rebuilds the rest from what the hosts report. Not thread-safe.
+// Forms, opens, closes and dissolves the replicas of one service. plan() maps the observed state to orders for hosts.
+// The planner stores only the operations that it started; a new controller derives the rest from the hosts' reports.
+// Not thread-safe.
 //
-// A host joins another replica only once the head of its old one can't take requests any more, as a head does not
-// notice that its members are gone: the head is told to leave first, and the others are free by its word or by the end
-// of its life. Where no node reaches the head, dead or cut off, each of its members is told to leave instead.
+// A head does not detect that its members have left. A host therefore joins another replica only once the head of its
+// old one can no longer take requests: the head is ordered to leave first, and the members are free once it confirms
+// or its process has ended. If no node reaches the head, each member is ordered to leave instead.
 //
-// A replica that an earlier controller was forming is finished, once all its hosts say that they are members of it:
-// joins go on by themselves, so only the open is missing. Taken apart instead, a change of control during the first
-// plan of 760 hosts cost all of its loads again.
+// A replica that an earlier controller was forming is completed once all of its hosts report that they are members:
+// joins continue without the controller, so only the open is missing. When such replicas were dissolved instead, a
+// change of controller during the first plan of 760 hosts repeated all of its loads.
 //
-// Each join names the orders that the host has accepted (ordercounts.h): whatever reached it since, late or from
-// another controller, makes it refuse. That a head left its replica is believed by its own report alone.
+// Each join names the number of orders that the host has accepted (ordercounts.h). The host refuses it if it has
+// accepted any other order since, late or from another controller. Only a head's own report shows that it left.
 class ReplicaPlanner {
 public:
-    // fencing: of the controller's lease; later controllers have higher ones, so their epochs are higher too.
+    // fencing: the fencing token of the controller's lease. Later controllers have higher tokens and so higher epochs.
     explicit ReplicaPlanner(uint64_t fencing);
 
     std::vector<HostOrder> plan(const PlannerInput&);
     void orderEnded(const HostOrder&, OrderResult, MonotonicTime now);
 
-    // For logs and metrics: what the last plan() saw.
+    // The state at the last plan(), for logs and metrics.
     struct Summary {
         std::map<std::string, uint32_t> open; // Replicas by model.
         std::map<std::string, uint32_t> forming;
         size_t dissolving = 0;
         size_t freeHosts = 0;
         uint32_t loads = 0; // In progress.
-        std::string shift; // The model that other replicas give way to, and where; empty if none do.
-        // By domain: the model that it is home to, and the free hosts by what they have staged.
+        std::string shift; // Models whose replicas replace those of other models, with the domain; empty if none.
+        // By domain and its assigned model: the number of free hosts by staged model.
         std::map<std::string, std::map<std::string, uint32_t>> freeByDomain;
     };
     Summary summary(const PlannerInput&) const;
 
-    // Hosts whose own reports the next decisions wait for.
+    // Hosts whose reports the next decisions depend on.
     const std::set<std::string, std::less<>>& hostsToPoll() const { return m_hostsToPoll; }
-    // Hosts that load for seconds, and idle ones: their reports are of use, but nobody is served later without them.
+    // Loading and idle hosts: their reports are useful, but a delay of them does not delay any request.
     const std::set<std::string, std::less<>>& hostsToPollLater() const { return m_hostsToPollLater; }
 
 private:
     struct MemberJoin {
-        std::optional<uint64_t> expectedOrderCount; // Nothing after a refusal, until the host reports.
-        std::optional<MonotonicTime> sentAt; // The latest.
+        std::optional<uint64_t> expectedOrderCount; // Empty after a refusal until the host reports.
+        std::optional<MonotonicTime> sentAt; // Last attempt.
         int refusals = 0;
     };
     struct Formation {
@@ -72,49 +73,50 @@
         std::string model;
         std::vector<std::string> members;
         MonotonicTime startedAt;
-        std::vector<std::string> coldMembers; // Those that load from the weight store.
+        std::vector<std::string> coldMembers; // Members that load from the weight store.
         std::map<std::string, MemberJoin, std::less<>> joins;
         std::optional<MonotonicTime> openSentAt;
         bool failed = false;
     };
-    // A replica as long as any host says that it is a member.
+    // Kept for each replica while any host reports to be a member of it.
     struct TrackedReplica {
         MonotonicTime firstSeenAt {};
         bool isDissolving = false;
-        std::optional<MonotonicTime> retiringSince; // Its hosts are to serve another model.
+        std::optional<MonotonicTime> retiringSince; // Set once its hosts are chosen to serve another model.
         std::string headId;
         std::optional<MonotonicTime> closeSentAt;
         std::optional<MonotonicTime> leaveSentAt;
-        std::optional<MonotonicTime> headRefusedSince; // Nothing listens at the head's address.
-        bool headIsLeaving = false; // By its own notice, or by living on without being listed.
-        bool headHasLeft = false; // It said so itself, or its life is over.
+        std::optional<MonotonicTime> headRefusedSince; // Since when the head's address refuses connections.
+        bool headIsLeaving = false; // It announced this, or it still answers but is not listed.
+        bool headHasLeft = false; // It reported or confirmed this, or its process has ended.
         std::map<std::string, std::optional<MonotonicTime>, std::less<>> memberLeaveSentAt;
     };
     enum class HeadStatus : uint8_t {
         MayServe,
-        Lost, // Or finished; its members may leave it.
+        Lost, // Unreachable or ended; its members may be ordered to leave.
         Left, // Its members are free.
     };
     using ReplicaKey = std::pair<std::string, uint64_t>;
-    // A replica that others give way to; until it begins to form, free hosts of the domain are kept for it.
+    // Replaces replicas of other models by one of this model. Free hosts of the domain are reserved for it until it
+    // starts to form.
     struct Shift {
         std::string model;
-        std::vector<ReplicaKey> replicas; // That give way.
+        std::vector<ReplicaKey> replicas; // To be replaced.
         MonotonicTime startedAt;
     };
     struct Candidate {
         const ModelSpec* model = nullptr;
         std::vector<const Host*> members;
-        double cost = 0; // What it lacks to serve at once.
+        double cost = 0; // Of the loads needed before it can serve.
     };
-    // What a plan sees, made once for each: going through all hosts for each replica that is formed took the first
-    // plan of 760 hosts over half a second of a core.
+    // Working data of one plan, computed once for each plan. Scanning all hosts for each formed replica took over half
+    // a second of CPU time in the first plan of 760 hosts.
     struct PlanState {
         std::vector<ReplicaView> replicas;
         std::map<std::string, std::vector<const ReplicaView*>> serving; // By domain.
         HostsByDomain freeHosts;
-        std::map<std::string, uint32_t> replicaCounts; // Replicas that serve or form, by model.
-        // The best choices of each domain's free hosts, one a model that has any; made again when they change.
+        std::map<std::string, uint32_t> replicaCounts; // Serving and forming replicas, by model.
+        // By domain: the best choice of free hosts for each model that has enough; recomputed when they change.
         std::map<std::string, std::vector<Candidate>> candidates;
     };
 
@@ -158,11 +160,11 @@
     void indexFormations();
     std::map<std::string, uint32_t> replicasByModel(const PlannerInput&, const std::vector<ReplicaView>&) const;
 
-    uint64_t m_firstEpoch; // Earlier ones are of earlier controllers.
+    uint64_t m_firstEpoch; // Lower epochs are of earlier controllers.
     uint64_t m_nextEpoch;
     std::vector<Formation> m_formations;
-    std::set<std::string, std::less<>> m_formingHosts; // Hosts of the formations.
-    std::set<uint64_t> m_formingEpochs; // Of the formations.
+    std::set<std::string, std::less<>> m_formingHosts; // Hosts of all formations.
+    std::set<uint64_t> m_formingEpochs; // Epochs of all formations.
     std::map<ReplicaKey, TrackedReplica> m_trackedReplicas;
     ModelStaging m_staging;
     OrderCounts m_orderCounts;
@@ -170,7 +172,7 @@
     std::map<std::string, Shift, std::less<>> m_shifts; // By domain.
     std::set<std::string, std::less<>> m_hostsToPoll;
     std::set<std::string, std::less<>> m_hostsToPollLater;
-    std::optional<MonotonicTime> m_firstHostSeenAt; // Of any host; and since when their number stays the same.
+    std::optional<MonotonicTime> m_firstHostSeenAt; // When the first host was listed.
     MonotonicTime m_hostCountSince {};
     size_t m_hostCount = 0;
 };
--- a/src/fleet/replicashift.cpp
+++ b/src/fleet/replicashift.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    // Above it, a model's next replica would be full at once: its calls lack places.
+    // Above this need, a model's next replica would be full at once: its calls lack slots.
     constexpr double minNeed = 1.0;
-    // How much more the one model must need a replica than the others afterwards, and on top of that for a whole
-    // replica of hosts that give way: a shift stops these from serving for two seconds.
+    // Factor by which a model's need must exceed the need that its donors have after the shift, and the addition to it
+    // if all hosts come from serving replicas: a shift stops these from serving for two seconds.
     constexpr double baseMargin = 1.4;
     constexpr double fullReplicaMargin = 0.6;
 
@@ -21,8 +21,8 @@
         return wanted == input.wantedReplicas.end() ? 0 : wanted->second / (1.0 + remaining);
     }
 
-    // Free hosts that hold the model, and those that do in replicas of models that need no further one. None if no free
-    // host holds it: then nothing is there to be kept.
+    // Counts the free hosts that hold the model and those in replicas of models that can spare one. Zero if no free
+    // host holds it, as there is then nothing to reserve.
     size_t countAvailableHosts(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
     {
         auto holds = [&](const Host* host) { return input.holds(*host, model.name); };
@@ -37,7 +37,7 @@
         return hosts;
     }
 
-    // The fewest replicas of other models that, with the free hosts, are enough for one of this model.
+    // Selects just enough replicas of other models to form one of this model together with the free hosts.
     std::optional<ReplicaShift> findShift(const ShiftInput& input, const ShiftDomain& domain, const ModelSpec& model)
     {
         auto holds = [&](const Host* host) { return input.holds(*host, model.name); };
@@ -55,7 +55,7 @@
             ++taken[replica->model];
             shift.replicas.emplace_back(replica->name, replica->epoch);
         }
-        // Without one that gives way there is nothing to shift: free hosts form replicas by themselves.
+        // If free hosts suffice, no shift is needed: replicas are formed from them in any case.
         if (hosts < model.hostsPerReplica || shift.replicas.empty())
             return std::nullopt;
         double takenShare = std::min(1.0, static_cast<double>(hostsTaken) / model.hostsPerReplica);
--- a/tests/fleet/largeworld.h
+++ b/tests/fleet/largeworld.h
@@ -7,8 +7,8 @@
 
 namespace Kumquatpick {
 
-// 760 hosts in 40 domains of nineteen, for replicas of eight hosts and of four. Joins load for as long as the
-// weight store takes before traffic; nothing else takes time.
+// 760 hosts in 40 domains of 19, for replicas of eight and of four hosts. Joins take the load time of the weight store
+// before traffic; all other orders are executed at once.
 class LargeWorld : public PlannerWorld {
 public:
     LargeWorld()
@@ -24,7 +24,7 @@
         handleOrder = [this](const HostOrder& order) { return applyOrderWithLoads(order); };
     }
 
-    // Goes on in steps in which loads end.
+    // Advances in steps of 100 ms and completes due loads after each.
     void run(Milliseconds duration)
     {
         for (MonotonicTime end = now + duration; now < end;) {
@@ -41,7 +41,7 @@
     size_t openHosts() const { return countHostsByHeadState(MemberState::Open); }
 
     int leavesOfMembers = 0;
-    size_t largestJoinBatch = 0; // Of one plan.
+    size_t largestJoinBatch = 0; // Joins in one plan.
 
 private:
     OrderResult applyOrderWithLoads(const HostOrder& order)
@@ -89,7 +89,7 @@
 
     uint64_t m_fencing = 7;
     size_t m_joinCount = 0;
-    std::map<std::string, MonotonicTime> m_loadEndTimes; // By host; when they end.
+    std::map<std::string, MonotonicTime> m_loadEndTimes; // By host.
 };
 
 } // namespace Kumquatpick
--- a/tests/fleet/lossyworld.h
+++ b/tests/fleet/lossyworld.h
@@ -7,8 +7,8 @@
 
 namespace Kumquatpick {
 
-// A fleet under the load of a day on which hosts die for good, silently, a few at a time, and empty ones come in their
-// place. Joins, openings and loads take the time that engines take for them.
+// A fleet under a full day's load in which hosts fail permanently without notice, a few at a time, and empty hosts
+// replace them. Joins and loads take as long as on real engines.
 class LossyWorld : public PlannerWorld {
 public:
     struct Sizes {
@@ -34,7 +34,7 @@
         isBeforeTraffic = false;
     }
 
-    // Goes on in steps in which joins and loads end.
+    // Advances in steps of 100 ms and completes due joins and loads after each.
     void run(Milliseconds duration)
     {
         for (MonotonicTime end = now + duration; now < end;) {
@@ -43,8 +43,8 @@
         }
     }
 
-    // Loses hosts of that domain that are members of replicas, first those of open ones. They fall silent, and their
-    // entries lapse three heartbeats later.
+    // Fails hosts of the domain that are members of open replicas. They stop answering, and their list entries expire
+    // three heartbeats later.
     void loseMembers(int domain, size_t count)
     {
         std::vector<const Host*> members;
@@ -70,7 +70,7 @@
             addHost(fmt::format("host-{:03}", m_hostCount++), domainName(domain));
     }
 
-    // Replicas that serve: all of their members are alive.
+    // The number of open replicas whose members are all alive.
     size_t serving(std::string_view model) const
     {
         return static_cast<size_t>(std::ranges::count_if(openReplicas(), [&](const ReplicaView& replica) {
--- a/tests/fleet/plannerworld.h
+++ b/tests/fleet/plannerworld.h
@@ -11,7 +11,8 @@
 
 namespace Kumquatpick {
 
-// Hosts that obey orders at once, seen by one planner, in event time. Tests change what hosts do and what is seen.
+// Simulates hosts that execute orders at once, with one planner and simulated time. Tests may replace how hosts handle
+// orders and what the planner observes of them.
 class PlannerWorld {
 public:
     explicit PlannerWorld(std::vector<ModelSpec> models)
@@ -35,7 +36,7 @@
         table.listed(host, now);
     }
 
-    // Runs the planner until so much time has passed; each order is carried out as `obey` says.
+    // Runs the planner for this duration; handleOrder executes each order.
     void run(Milliseconds duration)
     {
         for (MonotonicTime end = now + duration; now < end; now += Milliseconds(100)) {
@@ -53,7 +54,7 @@
         }
     }
 
-    // Hosts that the planner waits for report what they are, a moment after it asked.
+    // Hosts that the planner polls report their status 1 ms later.
     void reportAwaitedHosts()
     {
         now += Milliseconds(1);
@@ -136,8 +137,8 @@
     std::map<std::string, double, std::less<>> wantedReplicas;
     std::map<std::string, HostContact> contacts;
     std::set<std::string> stalledHeads;
-    std::set<std::string, std::less<>> nonReportingHosts; // Hosts that are listed and don't report.
-    std::map<std::string, uint64_t, std::less<>> ordersAccepted; // By the hosts' own count.
+    std::set<std::string, std::less<>> nonReportingHosts; // Listed hosts that do not report.
+    std::map<std::string, uint64_t, std::less<>> ordersAccepted; // As counted by the hosts.
     bool isBeforeTraffic = true;
     std::function<OrderResult(const HostOrder&)> handleOrder
         = [this](const HostOrder& order) { return applyOrder(order); };
--- a/tests/fleet/replicademand_test.cpp
+++ b/tests/fleet/replicademand_test.cpp
@@ -4,7 +4,7 @@
 
 namespace Kumquatpick {
 
-// Calls that hold sixty places of replicas with seventeen each, filled to six tenths.
+// Calls occupy 60 slots; replicas have 17 slots each and a target utilization of 0.6.
 TEST(ReplicaDemand, FollowsTrafficWithinSeconds)
 {
     ReplicaDemand demand;
--- a/tests/fleet/replicalosses_test.cpp
+++ b/tests/fleet/replicalosses_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // How long the model had fewer replicas than that at a stretch; the longest.
+    // Measures the longest continuous time in which a model had too few replicas.
     class ShortageTimer {
     public:
         explicit ShortageTimer(MonotonicTime start)
@@ -29,10 +29,10 @@
 
 }
 
-// Nine in ten calls need the small model, which has more replicas than they fill; the large one has about as many as
-// it needs. Two hosts die every three seconds, each in another replica, and two empty ones come. What a large replica
-// leaves over must become a large one again with the help of pairs that are not needed, rather than further pairs:
-// taken apart into pairs, ten replicas of eight became two within ten seconds and four for the rest of the day.
+// Nine in ten calls need the small model, which has more replicas than they fill; the large one has about as many as it
+// needs. Every three seconds two hosts fail, each in another replica, and two empty ones are added. The remaining hosts
+// of a large replica must form a large one again, with surplus replicas of two, rather than more replicas of two: when
+// they were split into those, ten replicas of eight became two within ten seconds and four for the rest of the day.
 TEST(ReplicaLosses, LargeModelKeepsServingWhileSmallOneHasSurplus)
 {
     constexpr double wantedLarge = 9;
@@ -51,7 +51,7 @@
     }
     EXPECT_LE(shortage.longest(), Milliseconds(5000));
     EXPECT_GE(world.serving("large"), 7u) << "at the end";
-    EXPECT_GE(world.serving("small"), 36u) << "pairs give way only where they are not needed";
+    EXPECT_GE(world.serving("small"), 36u) << "small replicas are dissolved only where they are not needed";
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/replicaplanner_test.cpp
+++ b/tests/fleet/replicaplanner_test.cpp
@@ -10,7 +10,7 @@
 
     PlannerWorld worldWithSmallModel() { return PlannerWorld({ makeModel("small", 2) }); }
 
-    // Two hosts serve; `spare` is free, so that either of them could join a replica with it.
+    // Hosts a and b serve as a replica; `spare` is free, so either of them could join a new replica with it.
     std::unique_ptr<PlannerWorld> worldWithServingPair()
     {
         auto world = std::make_unique<PlannerWorld>(std::vector<ModelSpec> { makeModel("small", 2) });
@@ -32,14 +32,15 @@
     for (int i = 0; i < 10; ++i)
         world.addHost("host-" + std::to_string(i), i < 5 ? "d1" : "d2");
     world.run(Milliseconds(2000));
-    EXPECT_EQ(world.openReplicas().size(), 3u) << "one of four hosts, then two of two in the other domain";
+    EXPECT_EQ(world.openReplicas().size(), 3u)
+        << "one replica of four hosts, and two replicas of two in the other domain";
     for (const ReplicaView& replica : world.openReplicas()) {
         for (const Host* member : replica.members)
             EXPECT_EQ(member->status.domain, replica.head->status.domain);
     }
 }
 
-// The list names some forty hosts a second: the first plan of 162 hosts begins once all of nine domains are known.
+// The list adds some 40 hosts a second. The first plan of 162 hosts starts once all hosts of nine domains are listed.
 TEST(ReplicaPlanner, WaitsForHostsThatAppearOneByOne)
 {
     PlannerWorld world({ makeModel("large", 8), makeModel("small", 2) });
@@ -56,8 +57,8 @@
     EXPECT_LE(large, 11);
 }
 
-// Six domains of ten: three are home to the large model and hold six replicas of it; the seventh of the 7.5 that are
-// wanted fits where the small model has enough.
+// Six domains of ten hosts. Three are assigned to the large model and hold six replicas of it. The seventh of the 7.5
+// wanted replicas is formed where the small model has enough.
 TEST(ReplicaPlanner, FormsReplicasOutsideAssignedDomainsWhenMoreAreWanted)
 {
     PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
@@ -85,7 +86,7 @@
     EXPECT_GT(world.ordersTo("b", OrderKind::Join).size(), 1u) << "a join without an answer is repeated";
 }
 
-// The list may be behind: what it shows of a host that held a model before is not enough to join it.
+// The list may be stale, so a listed host that held a model before is not joined on the list's word alone.
 TEST(ReplicaPlanner, JoinsOnlyHostsThatHaveReported)
 {
     PlannerWorld world = worldWithSmallModel();
@@ -97,14 +98,14 @@
     world.nonReportingHosts.insert("b");
     world.run(Milliseconds(2000));
     EXPECT_TRUE(world.ordersTo("a", OrderKind::Join).empty());
-    EXPECT_TRUE(world.ordersTo("b", OrderKind::Join).empty()) << "the list may be behind";
+    EXPECT_TRUE(world.ordersTo("b", OrderKind::Join).empty()) << "the list may be stale";
     world.nonReportingHosts.clear();
     world.run(Milliseconds(500));
     EXPECT_FALSE(world.ordersTo("a", OrderKind::Join).empty());
 }
 
-// One that is listed as holding nothing is joined without a question, on the condition that it took no order at all;
-// one that did refuses, and is joined only once it has reported itself.
+// A host that is listed without any model is joined without polling it, on condition that it has accepted no order. A
+// host that has accepted one refuses, and is joined only after it has reported.
 TEST(ReplicaPlanner, JoinsBlankHostOnlyIfItAcceptedNoOrder)
 {
     PlannerWorld world = worldWithSmallModel();
@@ -116,14 +117,14 @@
     auto joins = world.ordersTo("b", OrderKind::Join);
     ASSERT_EQ(joins.size(), 1u);
     EXPECT_EQ(joins[0].expectedOrderCount, 0u);
-    EXPECT_FALSE(world.table.find("b")->status.membership) << "it refused";
+    EXPECT_FALSE(world.table.find("b")->status.membership) << "the host refused the join";
     world.nonReportingHosts.clear();
     world.run(Milliseconds(1000));
     EXPECT_EQ(world.openReplicas().size(), 1u);
 }
 
-// One day the store's answers were seconds old: its list showed the head of an open replica as it was before it joined,
-// and as no order had reached the host since its last report, the join's condition held.
+// A store answered with data that was seconds old: its list showed the head of an open replica as it was before it
+// joined. As the host had accepted no order since its last report, the condition of a join held.
 TEST(ReplicaPlanner, IgnoresStaleListEntryThatShowsHostAsFree)
 {
     auto world = worldWithServingPair();
@@ -141,8 +142,8 @@
     EXPECT_TRUE(world->ordersTo("b", OrderKind::Join).empty());
 }
 
-// 760 hosts in 40 domains of nineteen. Loads go on by themselves while control changes twice: what two earlier
-// controllers began is finished, and none of its hosts loads anew.
+// 760 hosts in 40 domains of 19. Loads continue while the controller changes twice. Replicas that two earlier
+// controllers started to form are completed, and none of their hosts loads again.
 TEST(ReplicaPlanner, CompletesFormationsOfEarlierControllers)
 {
     LargeWorld world;
@@ -151,13 +152,13 @@
     world.run(Milliseconds(900));
     world.replaceController();
     world.run(Milliseconds(20'000));
-    EXPECT_EQ(world.joiningHosts(), 0u) << "every formation is finished or freed";
+    EXPECT_EQ(world.joiningHosts(), 0u) << "every formation is completed or dissolved";
     EXPECT_GE(world.openHosts(), 600u);
-    EXPECT_EQ(world.leavesOfMembers, 0) << "none was taken apart";
-    EXPECT_LE(world.largestJoinBatch, 96u + 8u) << "a node can send no more in a tenth of a second";
+    EXPECT_EQ(world.leavesOfMembers, 0) << "no member was ordered to leave";
+    EXPECT_LE(world.largestJoinBatch, 96u + 8u) << "a node can send no more joins in 100 ms";
 }
 
-// What an earlier controller had only half ordered is freed within three seconds.
+// Hosts of a formation for which an earlier controller had not sent all joins are freed within three seconds.
 TEST(ReplicaPlanner, DissolvesIncompleteFormationOfEarlierController)
 {
     PlannerWorld world({ makeModel("large", 4) });
@@ -175,7 +176,7 @@
     EXPECT_NE(world.openReplicas()[0].name, earlier);
 }
 
-// Another controller, or an order carried out late, was there first.
+// The host refuses the first join as it accepted another order before, late or from another controller.
 TEST(ReplicaPlanner, RetriesRefusedJoinWithReportedOrderCount)
 {
     PlannerWorld world = worldWithSmallModel();
@@ -190,12 +191,12 @@
     auto joins = world.ordersTo("b", OrderKind::Join);
     ASSERT_EQ(joins.size(), 2u);
     EXPECT_EQ(joins[0].expectedOrderCount, 0u);
-    EXPECT_EQ(joins[1].expectedOrderCount, 1u) << "by what it reports then";
-    EXPECT_EQ(joins[0].epoch, joins[1].epoch) << "the other members need not load anew";
+    EXPECT_EQ(joins[1].expectedOrderCount, 1u) << "the count that the host reports after the refusal";
+    EXPECT_EQ(joins[0].epoch, joins[1].epoch) << "the other members need not load again";
     EXPECT_EQ(world.openReplicas().size(), 1u);
 }
 
-// The second join is refused as the host has accepted an order since: the first one.
+// The second join is refused because the host has accepted the first one, whose answer was lost.
 TEST(ReplicaPlanner, KeepsFormationWhenAnswerToFirstJoinIsLost)
 {
     PlannerWorld world = worldWithSmallModel();
@@ -226,10 +227,11 @@
     EXPECT_EQ(world->orders.front().kind, OrderKind::Leave);
     EXPECT_EQ(world->orders.front().hostId, head);
     world->run(Milliseconds(1000));
-    EXPECT_FALSE(world->ordersTo(head, OrderKind::Join).empty()) << "the survivor joins the spare host";
+    EXPECT_FALSE(world->ordersTo(head, OrderKind::Join).empty())
+        << "the remaining host joins a replica with the spare host";
 }
 
-// It holds nothing of before and its count of orders starts anew; the others of its replica are free at once.
+// A restarted head has no membership and its order count starts at zero. The other members are free at once.
 TEST(ReplicaPlanner, ReformsReplicaAfterHeadRestart)
 {
     auto world = worldWithServingPair();
@@ -251,7 +253,7 @@
     EXPECT_TRUE(world->ordersTo(head, OrderKind::Join).empty());
 }
 
-// A head that drains stops listening, then finishes what it has: its members are not free before it has ended.
+// A draining head stops listening, then finishes its requests: its members are not free before it has ended.
 TEST(ReplicaPlanner, KeepsMembersUntilDrainingHeadHasEnded)
 {
     auto world = worldWithServingPair();
@@ -267,7 +269,8 @@
     EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty());
     world->table.unlisted(head);
     world->run(Milliseconds(2000));
-    EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty()) << "its entry goes when it has ended";
+    EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty())
+        << "the list entry is removed when the head has ended";
 }
 
 TEST(ReplicaPlanner, FreesMembersOfCrashedHead)
@@ -278,13 +281,13 @@
     world->contacts[head] = HostContact::Refused;
     world->orders.clear();
     world->run(Milliseconds(500));
-    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty()) << "a notice of leaving may be on its way";
+    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty()) << "a leave notice may be in flight";
     world->run(Milliseconds(1500));
     EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty());
 }
 
-// A head that no node reaches may be alive and open behind a partition, now and after it heals: a member may only
-// join another replica once it has left this one.
+// A head that no node reaches may be alive and open behind a partition, and still be so after it heals. A member may
+// join another replica only once it has left this one.
 TEST(ReplicaPlanner, OrdersMembersToLeaveUnreachableHead)
 {
     auto world = worldWithServingPair();
@@ -298,7 +301,7 @@
     ASSERT_FALSE(world->ordersTo(member, OrderKind::Join).empty());
     auto isForMember = [&](const HostOrder& order) { return order.hostId == member; };
     EXPECT_EQ(std::ranges::find_if(world->orders, isForMember)->kind, OrderKind::Leave);
-    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "it would not arrive";
+    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "the order would not arrive";
 }
 
 TEST(ReplicaPlanner, DoesNotJoinMemberElsewhereBeforeItHasLeft)
@@ -313,10 +316,10 @@
     };
     world->table.unlisted(head);
     world->run(Milliseconds(20'000));
-    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).size() == 1) << "only the one that formed the pair";
+    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).size() == 1) << "only the join of the first replica";
 }
 
-// One node does not reach the head, others do: it goes on serving them.
+// One node does not reach the head but others do, and it continues to serve them.
 TEST(ReplicaPlanner, KeepsReplicaWhoseHeadOtherNodesReach)
 {
     auto world = worldWithServingPair();
@@ -328,8 +331,8 @@
     EXPECT_TRUE(world->ordersTo(memberOf(*world), OrderKind::Leave).empty());
 }
 
-// A partition from the store alone: one host in nine lost its entry within a second, and each took its replica along
-// though it answered all the while, 60 of 131 replicas in all.
+// In a partition from the store alone, one host in nine lost its list entry within a second. Their replicas were
+// dissolved although the hosts still answered: 60 of 131 replicas in total.
 TEST(ReplicaPlanner, KeepsReplicaWhoseUnlistedMemberStillAnswers)
 {
     auto world = worldWithServingPair();
@@ -341,10 +344,10 @@
         EXPECT_TRUE(world->ordersTo(id, OrderKind::Leave).empty());
         EXPECT_TRUE(world->ordersTo(id, OrderKind::Close).empty());
     }
-    EXPECT_TRUE(world->planner.hostsToPoll().contains(member)) << "it is asked all the while";
+    EXPECT_TRUE(world->planner.hostsToPoll().contains(member)) << "the member is still polled";
     world->contacts[member] = HostContact::Refused;
     world->run(Milliseconds(1000));
-    EXPECT_FALSE(world->ordersTo(headOf(*world), OrderKind::Leave).empty()) << "it has ended";
+    EXPECT_FALSE(world->ordersTo(headOf(*world), OrderKind::Leave).empty()) << "the member has ended";
 }
 
 TEST(ReplicaPlanner, ClosesReplicaOfDrainingMemberWithoutDissolvingIt)
@@ -357,11 +360,11 @@
     world->orders.clear();
     world->run(Milliseconds(3000));
     EXPECT_EQ(world->ordersTo(head, OrderKind::Close).size(), 1u);
-    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "it still finishes what it has";
+    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "the replica still finishes its requests";
 }
 
-// Two hosts of a large replica are lost. All hosts hold both models, so a small replica of the domain gives way and the
-// large one is whole again without a load, which would take twelve to sixteen seconds here.
+// Two hosts of a large replica are lost. All hosts hold both models, so a small replica of the domain is dissolved and
+// the large one is formed again without a load, which would take 12 to 16 s here.
 TEST(ReplicaPlanner, RebuildsReplicaWithoutLoad)
 {
     PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
@@ -387,8 +390,8 @@
     EXPECT_EQ(world.loadsByJoin, 0);
 }
 
-// Three idle hosts hold the large model, of which a replica takes four, and no new host comes: each replica loses one
-// member in turn until then. Two of them load the small model and serve again.
+// Three idle hosts hold the large model, whose replicas take four, and no host is added. This state arises when
+// replicas lose one member after another. Two of the hosts load the small model and serve again.
 TEST(ReplicaPlanner, StrandedIdleHostsLoadAnotherModel)
 {
     PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
@@ -412,8 +415,7 @@
     EXPECT_EQ(world.openReplicas()[0].model, "small");
 }
 
-// A replica that waited for the load of one host would keep the others from serving as long.
-// 40 domains, and traffic that turned to the large model: several domains shift at the same time.
+// 40 domains, and demand that moves to the large model: several domains shift replicas at the same time.
 TEST(ReplicaPlanner, ShiftsInSeveralDomainsOfALargeFleet)
 {
     LargeWorld world;
@@ -427,10 +429,10 @@
     auto before = largeReplicas();
     world.wantedReplicas = { { "large", 60 }, { "small", 80 } };
     world.run(Milliseconds(5000));
-    EXPECT_GE(largeReplicas() - before, 12) << "one at a time makes four or five in this time";
+    EXPECT_GE(largeReplicas() - before, 12) << "one shift at a time makes four or five in this time";
 }
 
-// One host that gives no report of itself keeps its own domain waiting, and no other.
+// A host that does not report delays its own domain only.
 TEST(ReplicaPlanner, FormsInOtherDomainsWhileOneWaitsForAReport)
 {
     PlannerWorld world({ makeModel("large", 4) });
@@ -442,13 +444,13 @@
         world.table.listed(used, world.now);
     }
     world.isBeforeTraffic = false;
-    world.nonReportingHosts.insert("host-0"); // Of the first domain, so that it is the first choice.
+    world.nonReportingHosts.insert("host-0"); // In the first domain, so that it is chosen first.
     world.run(Milliseconds(1000));
     EXPECT_EQ(world.openReplicas().size(), 2u);
 }
 
-// Nineteen hosts: two replicas of eight and three spares. A lost member's place is taken by a spare at once, as that
-// holds the same model; the seven that are left never become replicas of four.
+// 19 hosts: two replicas of eight and three spares. A spare host replaces a lost member at once, as it holds the same
+// model; the seven remaining hosts never form replicas of four.
 TEST(ReplicaPlanner, SpareHostsReplaceLostMembersOfLargeReplica)
 {
     PlannerWorld world({ makeModel("large", 8), makeModel("small", 4) });
@@ -477,6 +479,7 @@
     EXPECT_EQ(world.loadsByJoin, loads) << "no load from the weight store";
 }
 
+// A replica that waits for the load of one host would keep the others from serving for that time.
 TEST(ReplicaPlanner, FormsNoReplicaOfColdHostsDuringTraffic)
 {
     PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
@@ -493,10 +496,10 @@
     EXPECT_TRUE(world.ordersTo("cold", OrderKind::Join).empty());
     auto stages = world.ordersTo("cold", OrderKind::Stage);
     ASSERT_EQ(stages.size(), 1u);
-    EXPECT_EQ(stages[0].model, "large") << "what the other three lack one host for";
+    EXPECT_EQ(stages[0].model, "large") << "the other three hosts hold it and need a fourth";
 }
 
-// It loads for an earlier controller. Asked at each turn, it once got 93 orders on one day.
+// The host is loading for an earlier controller. When it was ordered again in each plan, a host got 93 orders in a day.
 TEST(ReplicaPlanner, DelaysRetryAfterRefusedLoad)
 {
     PlannerWorld world({ makeModel("small", 2) });
@@ -511,7 +514,7 @@
     EXPECT_EQ(world.ordersTo("busy", OrderKind::Stage).size(), 2u);
 }
 
-// The weight store shares its rate: with more loads at once than it takes, none is done soon.
+// Concurrent loads share the weight store's bandwidth: with too many at once, none finishes soon.
 TEST(ReplicaPlanner, LimitsConcurrentLoadsFromWeightStore)
 {
     PlannerWorld world({ makeModel("small", 2) });
--- a/tests/fleet/replicashift_test.cpp
+++ b/tests/fleet/replicashift_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Hosts of two domains as a test places them. Every host holds both models unless it is named in `cold`.
+    // Hosts of two domains, added by each test. Every host holds both models unless it is in m_coldHosts.
     class ReplicaShiftTest : public testing::Test {
     protected:
         ReplicaShiftTest() { m_service.models = { makeModel("large", 4), makeModel("small", 2) }; }
@@ -45,7 +45,7 @@
             return chooseShift({ m_service, m_wantedReplicas, m_replicaCounts, domains, holds() });
         }
 
-        // Of the first domain, for a replica of this model.
+        // Whether the free hosts of d1 are reserved when a replica of this model could be formed.
         bool areReserved(const std::string& model) const
         {
             ShiftDomain domain;
@@ -75,7 +75,7 @@
 
 }
 
-// A large replica lost one of its four hosts: with one pair that gives way, the other three serve again.
+// A large replica lost one of its four hosts. Dissolving one small replica lets the other three serve again.
 TEST_F(ReplicaShiftTest, ChoosesFewestSufficientReplicas)
 {
     for (const char* domain : { "d1", "d1", "d1", "d2", "d2", "d2" })
@@ -93,12 +93,12 @@
     for (const char* domain : { "d1", "d1", "d2", "d2" })
         addReplica(domain, "small");
     m_wantedReplicas = { { "large", 2 }, { "small", 9 } };
-    EXPECT_FALSE(choose()) << "with two fewer, small would need one as much";
+    EXPECT_FALSE(choose()) << "with two fewer replicas, the small model would have an equal need";
     m_wantedReplicas = { { "large", 0.9 }, { "small", 0.1 } };
-    EXPECT_FALSE(choose()) << "the traffic would not fill one";
+    EXPECT_FALSE(choose()) << "the traffic would not fill a replica";
 }
 
-// A load from the weight store takes a tenfold of the time, and both models would go without the hosts meanwhile.
+// A load from the weight store takes ten times as long, and the hosts would serve neither model during it.
 TEST_F(ReplicaShiftTest, CountsOnlyHostsThatHoldTheModel)
 {
     for (const char* domain : { "d1", "d1", "d1" })
@@ -119,7 +119,7 @@
     EXPECT_FALSE(choose());
 }
 
-// A large replica lost one of its four hosts while the small model has more than its calls fill.
+// A large replica lost one of its four hosts while the small model has more replicas than its calls fill.
 TEST_F(ReplicaShiftTest, ReservesFreeHostsForLargerModelCompletedByAPair)
 {
     m_freeHosts["d1"] = { addHost(), addHost(), addHost() };
@@ -128,9 +128,9 @@
     EXPECT_TRUE(areReserved("small"));
     EXPECT_FALSE(areReserved("large"));
     m_wantedReplicas["small"] = 9;
-    EXPECT_FALSE(areReserved("small")) << "it is short itself";
+    EXPECT_FALSE(areReserved("small")) << "the small model itself needs replicas";
     m_wantedReplicas = { { "large", 0.9 }, { "small", 3 } };
-    EXPECT_FALSE(areReserved("small")) << "the larger model needs none";
+    EXPECT_FALSE(areReserved("small")) << "the larger model needs no replica";
 }
 
 TEST_F(ReplicaShiftTest, ReservesNothingIfDomainCannotCompleteLargerReplica)
@@ -138,12 +138,12 @@
     m_freeHosts["d1"] = { addHost(), addHost() };
     addReplica("d1", "small");
     m_wantedReplicas = { { "large", 2 }, { "small", 0.5 } };
-    EXPECT_TRUE(areReserved("small")) << "with the pair, the model of four has its hosts";
+    EXPECT_TRUE(areReserved("small")) << "with the small replica, the large model has its four hosts";
     m_coldHosts = { "2" };
-    EXPECT_FALSE(areReserved("small")) << "a host of the pair would have to load";
+    EXPECT_FALSE(areReserved("small")) << "a host of the small replica would have to load";
 }
 
-// Four replicas that give way to one stop no more hosts from serving than two larger ones.
+// Dissolving four replicas of two stops no more hosts from serving than dissolving two of four.
 TEST_F(ReplicaShiftTest, RequiresSameMarginForPairsAsForOneReplicaOfEqualSize)
 {
     m_service.models = { makeModel("large", 8), makeModel("small", 2) };
@@ -151,7 +151,7 @@
         addReplica("d1", "small");
     m_wantedReplicas = { { "large", 4 }, { "small", 1.9 } };
     auto shift = choose();
-    ASSERT_TRUE(shift) << "twice the need is enough, also of four pairs";
+    ASSERT_TRUE(shift) << "twice the need suffices, also for four replicas of two";
     EXPECT_EQ(shift->replicas.size(), 4u);
     m_wantedReplicas["large"] = 3;
     EXPECT_FALSE(choose());
