--- a/src/fleet/replicaplanner.h
+++ b/src/fleet/replicaplanner.h
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 #include "fleet/config.h"
-#include "fleet/domainhomes.h"
+#include "fleet/domainassignment.h"
 #include "fleet/hostorder.h"
 #include "fleet/modelstaging.h"
 #include "fleet/ordercounts.h"
@@ -21,49 +21,50 @@
 
 namespace Kumquatpick {
 
-// Forms, opens, closes and takes apart the replicas of one service: facts and time in, orders out. What it keeps is
-// only what it began itself; a successor rebuilds the rest from what the hosts report. Not thread-safe.
+// Forms, opens, closes and dissolves the replicas of one service. plan() maps the observed state to orders for hosts.
+// The planner stores only the operations that it started; a new controller derives the rest from the hosts' reports.
+// Not thread-safe.
 //
-// A host joins another replica only once the head of its old one can't take requests any more, as a head does not
-// notice that its members are gone: the head is told to leave first, and the others are free by its word or by the end
-// of its life. Where no node reaches the head, dead or cut off, each of its members is told to leave instead.
+// A head does not detect that its members have left. A host therefore joins another replica only once the head of its
+// old one can no longer take requests: the head is ordered to leave first, and the members are free once it confirms
+// or its process has ended. If no node reaches the head, each member is ordered to leave instead.
 //
-// A replica that an earlier controller was forming is finished, once all its hosts say that they are members of it:
-// joins go on by themselves, so only the open is missing. Taken apart instead, a change of control during the first
-// plan of 760 hosts cost all of its loads again.
+// A replica that an earlier controller was forming is completed once all of its hosts report that they are members:
+// joins continue without the controller, so only the open is missing. When such replicas were dissolved instead, a
+// change of controller during the first plan of 760 hosts repeated all of its loads.
 //
-// Each join names the orders that the host has accepted (ordercounts.h): whatever reached it since, late or from
-// another controller, makes it refuse. That a head left its replica is believed by its own report alone.
+// Each join names the number of orders that the host has accepted (ordercounts.h). The host refuses it if it has
+// accepted any other order since, late or from another controller. Only a head's own report shows that it left.
 class ReplicaPlanner {
 public:
-    // fencing: of the controller's lease; later controllers have higher ones, so their epochs are higher too.
+    // fencing: the fencing token of the controller's lease. Later controllers have higher tokens and so higher epochs.
     explicit ReplicaPlanner(uint64_t fencing);
 
     std::vector<HostOrder> plan(const PlannerInput&);
     void orderEnded(const HostOrder&, OrderResult, MonotonicTime now);
 
-    // For logs and metrics: what the last plan() saw.
+    // The state at the last plan(), for logs and metrics.
     struct Summary {
         std::map<std::string, uint32_t> open; // Replicas by model.
         std::map<std::string, uint32_t> forming;
         size_t dissolving = 0;
         size_t freeHosts = 0;
         uint32_t loads = 0; // In progress.
-        std::string shift; // The model that other replicas give way to, and where; empty if none do.
-        // By domain: the model that it is home to, and the free hosts by what they have staged.
+        std::string shift; // Models whose replicas replace those of other models, with the domain; empty if none.
+        // By domain and its assigned model: the number of free hosts by staged model.
         std::map<std::string, std::map<std::string, uint32_t>> freeByDomain;
     };
     Summary summary(const PlannerInput&) const;
 
-    // Hosts whose own reports the next decisions wait for.
-    const std::set<std::string, std::less<>>& awaited() const { return m_awaited; }
-    // Hosts that load for seconds, and idle ones: their reports are of use, but nobody is served later without them.
-    const std::set<std::string, std::less<>>& awaitedLater() const { return m_awaitedLater; }
+    // Hosts whose reports the next decisions depend on.
+    const std::set<std::string, std::less<>>& hostsToPoll() const { return m_hostsToPoll; }
+    // Loading and idle hosts: their reports are useful, but a delay of them does not delay any request.
+    const std::set<std::string, std::less<>>& hostsToPollLater() const { return m_hostsToPollLater; }
 
 private:
     struct MemberJoin {
-        std::optional<uint64_t> expectedOrders; // Nothing after a refusal, until the host reports.
-        std::optional<MonotonicTime> sent; // The latest.
+        std::optional<uint64_t> expectedOrderCount; // Empty after a refusal until the host reports.
+        std::optional<MonotonicTime> sentAt; // Last attempt.
         int refusals = 0;
     };
     struct Formation {
@@ -71,50 +72,51 @@
         uint64_t epoch = 0;
         std::string model;
         std::vector<std::string> members;
-        MonotonicTime begun;
-        std::vector<std::string> coldMembers; // Those that load from the weight store.
+        MonotonicTime startedAt;
+        std::vector<std::string> coldMembers; // Members that load from the weight store.
         std::map<std::string, MemberJoin, std::less<>> joins;
-        std::optional<MonotonicTime> openSent;
+        std::optional<MonotonicTime> openSentAt;
         bool failed = false;
     };
-    // A replica as long as any host says that it is a member.
-    struct Watch {
-        MonotonicTime since {};
+    // Kept for each replica while any host reports to be a member of it.
+    struct TrackedReplica {
+        MonotonicTime firstSeenAt {};
         bool isDissolving = false;
-        std::optional<MonotonicTime> retiringSince; // Its hosts are to serve another model.
+        std::optional<MonotonicTime> retiringSince; // Set once its hosts are chosen to serve another model.
         std::string headId;
-        std::optional<MonotonicTime> closeSent;
-        std::optional<MonotonicTime> leaveSent;
-        std::optional<MonotonicTime> headRefusedSince; // Nothing listens at the head's address.
-        bool headIsLeaving = false; // By its own notice, or by living on without being listed.
-        bool headIsOut = false; // It said so itself, or its life is over.
-        std::map<std::string, std::optional<MonotonicTime>, std::less<>> memberLeaveSent;
+        std::optional<MonotonicTime> closeSentAt;
+        std::optional<MonotonicTime> leaveSentAt;
+        std::optional<MonotonicTime> headRefusedSince; // Since when the head's address refuses connections.
+        bool headIsLeaving = false; // It announced this, or it still answers but is not listed.
+        bool headHasLeft = false; // It reported or confirmed this, or its process has ended.
+        std::map<std::string, std::optional<MonotonicTime>, std::less<>> memberLeaveSentAt;
     };
-    enum class HeadFate : uint8_t {
+    enum class HeadStatus : uint8_t {
         MayServe,
-        Lost, // Or finished; its members may leave it.
-        Out, // Its members are free.
+        Lost, // Unreachable or ended; its members may be ordered to leave.
+        Left, // Its members are free.
     };
     using ReplicaKey = std::pair<std::string, uint64_t>;
-    // A replica that others give way to; until it begins to form, free hosts of the domain are kept for it.
+    // Replaces replicas of other models by one of this model. Free hosts of the domain are reserved for it until it
+    // starts to form.
     struct Shift {
         std::string model;
-        std::vector<ReplicaKey> replicas; // That give way.
-        MonotonicTime begun;
+        std::vector<ReplicaKey> replicas; // To be replaced.
+        MonotonicTime startedAt;
     };
     struct Candidate {
         const ModelSpec* model = nullptr;
         std::vector<const Host*> members;
-        double cost = 0; // What it lacks to serve at once.
+        double cost = 0; // Of the loads needed before it can serve.
     };
-    // What a plan sees, made once for each: going through all hosts for each replica that is formed took the first
-    // plan of 760 hosts over half a second of a core.
-    struct View {
+    // Working data of one plan, computed once for each plan. Scanning all hosts for each formed replica took over half
+    // a second of CPU time in the first plan of 760 hosts.
+    struct PlanState {
         std::vector<ReplicaView> replicas;
         std::map<std::string, std::vector<const ReplicaView*>> serving; // By domain.
         HostsByDomain freeHosts;
-        std::map<std::string, uint32_t> have; // Replicas that serve or form, by model.
-        // The best choices of each domain's free hosts, one a model that has any; made again when they change.
+        std::map<std::string, uint32_t> replicaCounts; // Serving and forming replicas, by model.
+        // By domain: the best choice of free hosts for each model that has enough; recomputed when they change.
         std::map<std::string, std::vector<Candidate>> candidates;
     };
 
@@ -122,56 +124,56 @@
     void orderJoins(const PlannerInput&, Formation&, std::vector<HostOrder>&);
     void abandon(const Formation&, std::vector<HostOrder>&);
     bool adopt(const PlannerInput&, const ReplicaView&);
-    bool mayStillForm(const PlannerInput&, const ReplicaView&, const Watch&) const;
+    bool mayStillForm(const PlannerInput&, const ReplicaView&, const TrackedReplica&) const;
     void superviseReplica(const PlannerInput&, const ReplicaView&, std::vector<HostOrder>&);
     void dissolve(const PlannerInput&, const ReplicaView&, std::vector<HostOrder>&);
-    HeadFate followHead(const PlannerInput&, const ReplicaView&, Watch&) const;
-    bool hasFinished(const PlannerInput&, Watch&, const Host* head) const;
-    void orderLeave(const PlannerInput&, const ReplicaView&, Watch&, std::vector<HostOrder>&);
-    void orderMembersLeave(const PlannerInput&, const ReplicaView&, Watch&, std::vector<HostOrder>&);
-    bool takeOrderTurn(std::optional<MonotonicTime>& sent, MonotonicTime now) const;
-    void formReplicas(const PlannerInput&, View&, std::vector<HostOrder>&);
-    void formReplica(const PlannerInput&, View&, const Candidate&, std::vector<HostOrder>&);
-    ModelNeeds needs(const PlannerInput&, const View&) const;
-    const Candidate* bestCandidate(const PlannerInput&, const View&) const;
+    HeadStatus updateHeadStatus(const PlannerInput&, const ReplicaView&, TrackedReplica&) const;
+    bool hasHeadEnded(const PlannerInput&, TrackedReplica&, const Host* head) const;
+    void orderHeadLeave(const PlannerInput&, const ReplicaView&, TrackedReplica&, std::vector<HostOrder>&);
+    void orderMembersLeave(const PlannerInput&, const ReplicaView&, TrackedReplica&, std::vector<HostOrder>&);
+    bool recordSendIfDue(std::optional<MonotonicTime>& sentAt, MonotonicTime now) const;
+    void formReplicas(const PlannerInput&, PlanState&, std::vector<HostOrder>&);
+    void formReplica(const PlannerInput&, PlanState&, const Candidate&, std::vector<HostOrder>&);
+    ModelNeeds computeNeeds(const PlannerInput&, const PlanState&) const;
+    const Candidate* bestCandidate(const PlannerInput&, const PlanState&) const;
     std::vector<Candidate> candidatesIn(const PlannerInput&, const std::vector<const Host*>& freeHosts) const;
     std::optional<Candidate> candidateIn(
         const PlannerInput&, const ModelSpec&, const std::vector<const Host*>& freeHosts) const;
-    ModelStaging::ReplicasByDomain replicasByDomain(const PlannerInput&, const View&) const;
+    ModelStaging::ReplicasByDomain replicasByDomain(const PlannerInput&, const PlanState&) const;
     uint32_t loadsOfFormations(const PlannerInput&) const;
-    void shiftReplicas(const PlannerInput&, const View&);
-    std::map<std::string, uint32_t> replicasAfterShifts(const View&) const;
-    std::vector<ShiftDomain> shiftDomains(const View&) const;
+    void shiftReplicas(const PlannerInput&, const PlanState&);
+    std::map<std::string, uint32_t> replicasAfterShifts(const PlanState&) const;
+    std::vector<ShiftDomain> shiftDomains(const PlanState&) const;
     std::map<std::string, std::vector<const ReplicaView*>> servingByDomain(
         const PlannerInput&, const std::vector<ReplicaView>&) const;
-    bool isKeptFor(std::string_view domain, std::string_view otherModel) const;
-    bool isKeptForLarger(const PlannerInput&, const View&, const std::string& domain, const ModelSpec&) const;
-    bool hasSettled(const PlannerInput&);
+    bool isReservedForOther(std::string_view domain, std::string_view model) const;
+    bool isReservedForLarger(const PlannerInput&, const PlanState&, const std::string& domain, const ModelSpec&) const;
+    bool isHostListStable(const PlannerInput&);
     HostsByDomain freeHostsByDomain(const PlannerInput&) const;
     bool isFree(const PlannerInput&, const Host&) const;
     bool isIdle(const PlannerInput&, const Host&) const;
-    bool awaitReports(const PlannerInput&, const std::vector<const Host*>&);
-    void joinRefused(const HostOrder&);
+    bool requireReports(const PlannerInput&, const std::vector<const Host*>&);
+    void handleJoinRefusal(const HostOrder&);
     bool isForming(const ReplicaView&) const;
     bool isDissolving(const ReplicaView&) const;
     bool isServing(const PlannerInput&, const ReplicaView&) const;
-    void noteFormations();
+    void indexFormations();
     std::map<std::string, uint32_t> replicasByModel(const PlannerInput&, const std::vector<ReplicaView>&) const;
 
-    uint64_t m_firstEpoch; // Earlier ones are of earlier controllers.
+    uint64_t m_firstEpoch; // Lower epochs are of earlier controllers.
     uint64_t m_nextEpoch;
     std::vector<Formation> m_formations;
-    std::set<std::string, std::less<>> m_forming; // Hosts of the formations.
-    std::set<uint64_t> m_formingEpochs; // Of the formations.
-    std::map<ReplicaKey, Watch> m_watches;
+    std::set<std::string, std::less<>> m_formingHosts; // Hosts of all formations.
+    std::set<uint64_t> m_formingEpochs; // Epochs of all formations.
+    std::map<ReplicaKey, TrackedReplica> m_trackedReplicas;
     ModelStaging m_staging;
     OrderCounts m_orderCounts;
-    DomainHomes m_homes;
+    DomainAssignment m_domainAssignment;
     std::map<std::string, Shift, std::less<>> m_shifts; // By domain.
-    std::set<std::string, std::less<>> m_awaited;
-    std::set<std::string, std::less<>> m_awaitedLater;
-    std::optional<MonotonicTime> m_firstSeen; // Of any host; and since when their number stays the same.
-    MonotonicTime m_countSince {};
+    std::set<std::string, std::less<>> m_hostsToPoll;
+    std::set<std::string, std::less<>> m_hostsToPollLater;
+    std::optional<MonotonicTime> m_firstHostSeenAt; // When the first host was listed.
+    MonotonicTime m_hostCountSince {};
     size_t m_hostCount = 0;
 };
 
--- a/tests/fleet/replicaplanner_test.cpp
+++ b/tests/fleet/replicaplanner_test.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-    PlannerWorld pairOfHosts() { return PlannerWorld({ modelOf("small", 2) }); }
+    PlannerWorld worldWithSmallModel() { return PlannerWorld({ makeModel("small", 2) }); }
 
-    // Two hosts serve; `spare` is free, so that either of them could join a replica with it.
-    std::unique_ptr<PlannerWorld> servingPair()
+    // Hosts a and b serve as a replica; `spare` is free, so either of them could join a new replica with it.
+    std::unique_ptr<PlannerWorld> worldWithServingPair()
     {
-        auto world = std::make_unique<PlannerWorld>(std::vector<ModelSpec> { modelOf("small", 2) });
+        auto world = std::make_unique<PlannerWorld>(std::vector<ModelSpec> { makeModel("small", 2) });
         world->addHost("a", "d1");
         world->addHost("b", "d1");
         world->run(Milliseconds(1000));
@@ -28,22 +28,23 @@
 
 TEST(ReplicaPlanner, FormsAndOpensReplicasInsideDomains)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
     for (int i = 0; i < 10; ++i)
         world.addHost("host-" + std::to_string(i), i < 5 ? "d1" : "d2");
     world.run(Milliseconds(2000));
-    EXPECT_EQ(world.openReplicas().size(), 3u) << "one of four hosts, then two of two in the other domain";
+    EXPECT_EQ(world.openReplicas().size(), 3u)
+        << "one replica of four hosts, and two replicas of two in the other domain";
     for (const ReplicaView& replica : world.openReplicas()) {
         for (const Host* member : replica.members)
             EXPECT_EQ(member->status.domain, replica.head->status.domain);
     }
 }
 
-// The list names some forty hosts a second: the first plan of 162 hosts begins once all of nine domains are known.
+// The list adds some 40 hosts a second. The first plan of 162 hosts starts once all hosts of nine domains are listed.
 TEST(ReplicaPlanner, WaitsForHostsThatAppearOneByOne)
 {
-    PlannerWorld world({ modelOf("large", 8), modelOf("small", 2) });
-    world.wanted = { { "large", 10.1 }, { "small", 40.5 } };
+    PlannerWorld world({ makeModel("large", 8), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 10.1 }, { "small", 40.5 } };
     for (int i = 0; i < 162; ++i) {
         world.addHost("host-" + std::to_string(i), "domain-" + std::to_string(i % 9));
         if (i % 4 == 3)
@@ -56,12 +57,12 @@
     EXPECT_LE(large, 11);
 }
 
-// Six domains of ten: three are home to the large model and hold six replicas of it; the seventh of the 7.5 that are
-// wanted fits where the small model has enough.
-TEST(ReplicaPlanner, FormsWhatIsWantedBeyondTheHomesOfAModel)
+// Six domains of ten hosts. Three are assigned to the large model and hold six replicas of it. The seventh of the 7.5
+// wanted replicas is formed where the small model has enough.
+TEST(ReplicaPlanner, FormsReplicasOutsideAssignedDomainsWhenMoreAreWanted)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 7.5 }, { "small", 15 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 7.5 }, { "small", 15 } };
     for (int i = 0; i < 60; ++i)
         world.addHost("host-" + std::to_string(i), "domain-" + std::to_string(i % 6));
     world.run(Milliseconds(2000));
@@ -73,11 +74,11 @@
 
 TEST(ReplicaPlanner, OpensOnlyOnceEveryMemberIsReady)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
-    world.obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Join && order.hostId == "b" ? OrderResult::Lost : world.carryOut(order);
+    world.handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Join && order.hostId == "b" ? OrderResult::Lost : world.applyOrder(order);
     };
     world.run(Milliseconds(3000));
     EXPECT_TRUE(world.ordersTo("a", OrderKind::Open).empty());
@@ -85,50 +86,50 @@
     EXPECT_GT(world.ordersTo("b", OrderKind::Join).size(), 1u) << "a join without an answer is repeated";
 }
 
-// The list may be behind: what it shows of a host that held a model before is not enough to join it.
-TEST(ReplicaPlanner, JoinsOnlyHostsThatReportThemselves)
+// The list may be stale, so a listed host that held a model before is not joined on the list's word alone.
+TEST(ReplicaPlanner, JoinsOnlyHostsThatHaveReported)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
     Host used = *world.table.find("b");
     used.status.stagedModels = { "small" };
     world.table.listed(used, world.now);
-    world.silentReports.insert("b");
+    world.nonReportingHosts.insert("b");
     world.run(Milliseconds(2000));
     EXPECT_TRUE(world.ordersTo("a", OrderKind::Join).empty());
-    EXPECT_TRUE(world.ordersTo("b", OrderKind::Join).empty()) << "the list may be behind";
-    world.silentReports.clear();
+    EXPECT_TRUE(world.ordersTo("b", OrderKind::Join).empty()) << "the list may be stale";
+    world.nonReportingHosts.clear();
     world.run(Milliseconds(500));
     EXPECT_FALSE(world.ordersTo("a", OrderKind::Join).empty());
 }
 
-// One that is listed as holding nothing is joined without a question, on the condition that it took no order at all;
-// one that did refuses, and is joined only once it has reported itself.
-TEST(ReplicaPlanner, JoinsAHostThatHoldsNothingOnlyIfItTookNoOrder)
+// A host that is listed without any model is joined without polling it, on condition that it has accepted no order. A
+// host that has accepted one refuses, and is joined only after it has reported.
+TEST(ReplicaPlanner, JoinsBlankHostOnlyIfItAcceptedNoOrder)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
     world.ordersAccepted["b"] = 3;
-    world.silentReports = { "a", "b" };
+    world.nonReportingHosts = { "a", "b" };
     world.run(Milliseconds(2000));
     auto joins = world.ordersTo("b", OrderKind::Join);
     ASSERT_EQ(joins.size(), 1u);
-    EXPECT_EQ(joins[0].expectedOrders, 0u);
-    EXPECT_FALSE(world.table.find("b")->status.membership) << "it refused";
-    world.silentReports.clear();
+    EXPECT_EQ(joins[0].expectedOrderCount, 0u);
+    EXPECT_FALSE(world.table.find("b")->status.membership) << "the host refused the join";
+    world.nonReportingHosts.clear();
     world.run(Milliseconds(1000));
     EXPECT_EQ(world.openReplicas().size(), 1u);
 }
 
-// One day the store's answers were seconds old: its list showed the head of an open replica as it was before it joined,
-// and as no order had reached the host since its last report, the join's condition held.
-TEST(ReplicaPlanner, BelievesNoOldListThatAHostIsFree)
+// A store answered with data that was seconds old: its list showed the head of an open replica as it was before it
+// joined. As the host had accepted no order since its last report, the condition of a join held.
+TEST(ReplicaPlanner, IgnoresStaleListEntryThatShowsHostAsFree)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     world->orders.clear();
-    world->silentReports = { "a", "b" };
+    world->nonReportingHosts = { "a", "b" };
     world->run(Milliseconds(2000));
     for (const char* id : { "a", "b" }) {
         Host old = *world->table.find(id);
@@ -141,70 +142,70 @@
     EXPECT_TRUE(world->ordersTo("b", OrderKind::Join).empty());
 }
 
-// 760 hosts in 40 domains of nineteen. Loads go on by themselves while control changes twice: what two earlier
-// controllers began is finished, and none of its hosts loads anew.
-TEST(ReplicaPlanner, FinishesWhatEarlierControllersWereForming)
+// 760 hosts in 40 domains of 19. Loads continue while the controller changes twice. Replicas that two earlier
+// controllers started to form are completed, and none of their hosts loads again.
+TEST(ReplicaPlanner, CompletesFormationsOfEarlierControllers)
 {
     LargeWorld world;
     world.run(Milliseconds(1500));
-    world.changeController();
+    world.replaceController();
     world.run(Milliseconds(900));
-    world.changeController();
+    world.replaceController();
     world.run(Milliseconds(20'000));
-    EXPECT_EQ(world.joiningHosts(), 0u) << "every formation is finished or freed";
+    EXPECT_EQ(world.joiningHosts(), 0u) << "every formation is completed or dissolved";
     EXPECT_GE(world.openHosts(), 600u);
-    EXPECT_EQ(world.leavesOfJoined, 0) << "none was taken apart";
-    EXPECT_LE(world.mostJoinsAtOnce, 96u + 8u) << "a node can send no more in a tenth of a second";
+    EXPECT_EQ(world.leavesOfMembers, 0) << "no member was ordered to leave";
+    EXPECT_LE(world.largestJoinBatch, 96u + 8u) << "a node can send no more joins in 100 ms";
 }
 
-// What an earlier controller had only half ordered is freed within three seconds.
-TEST(ReplicaPlanner, FreesWhatAnEarlierControllerLeftIncomplete)
+// Hosts of a formation for which an earlier controller had not sent all joins are freed within three seconds.
+TEST(ReplicaPlanner, DissolvesIncompleteFormationOfEarlierController)
 {
-    PlannerWorld world({ modelOf("large", 4) });
+    PlannerWorld world({ makeModel("large", 4) });
     for (const char* id : { "a", "b", "c", "d" })
         world.addHost(id, "d1");
-    world.obey
-        = [&](const HostOrder& order) { return order.hostId == "d" ? OrderResult::Lost : world.carryOut(order); };
+    world.handleOrder
+        = [&](const HostOrder& order) { return order.hostId == "d" ? OrderResult::Lost : world.applyOrder(order); };
     world.run(Milliseconds(1000));
     ASSERT_TRUE(world.table.find("a")->status.membership);
     std::string earlier = world.table.find("a")->status.membership->replica;
-    world.obey = [&](const HostOrder& order) { return world.carryOut(order); };
+    world.handleOrder = [&](const HostOrder& order) { return world.applyOrder(order); };
     world.planner = ReplicaPlanner(8);
     world.run(Milliseconds(3000));
     ASSERT_EQ(world.openReplicas().size(), 1u);
     EXPECT_NE(world.openReplicas()[0].name, earlier);
 }
 
-// Another controller, or an order carried out late, was there first.
-TEST(ReplicaPlanner, JoinsAHostThatAcceptedAnotherOrderByItsNewCount)
+// The host refuses the first join as it accepted another order before, late or from another controller.
+TEST(ReplicaPlanner, RetriesRefusedJoinWithReportedOrderCount)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
-    world.obey = [&](const HostOrder& order) {
+    world.handleOrder = [&](const HostOrder& order) {
         if (order.kind == OrderKind::Join && order.hostId == "b" && world.ordersTo("b", OrderKind::Join).size() == 1)
             ++world.ordersAccepted["b"];
-        return world.carryOut(order);
+        return world.applyOrder(order);
     };
     world.run(Milliseconds(2000));
     auto joins = world.ordersTo("b", OrderKind::Join);
     ASSERT_EQ(joins.size(), 2u);
-    EXPECT_EQ(joins[0].expectedOrders, 0u);
-    EXPECT_EQ(joins[1].expectedOrders, 1u) << "by what it reports then";
-    EXPECT_EQ(joins[0].epoch, joins[1].epoch) << "the other members need not load anew";
+    EXPECT_EQ(joins[0].expectedOrderCount, 0u);
+    EXPECT_EQ(joins[1].expectedOrderCount, 1u) << "the count that the host reports after the refusal";
+    EXPECT_EQ(joins[0].epoch, joins[1].epoch) << "the other members need not load again";
     EXPECT_EQ(world.openReplicas().size(), 1u);
 }
 
-// The second join is refused as the host has accepted an order since: the first one.
-TEST(ReplicaPlanner, GoesOnWithAHostWhoseFirstJoinWasCarriedOutUnanswered)
+// The second join is refused because the host has accepted the first one, whose answer was lost.
+TEST(ReplicaPlanner, KeepsFormationWhenAnswerToFirstJoinIsLost)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
-    world.silentReports.insert("b");
+    world.nonReportingHosts.insert("b");
     world.table.reported("b", HostStatus { 0, {}, {}, {}, {}, "d1" }, world.now);
-    world.obey = [&](const HostOrder& order) {
-        OrderResult result = world.carryOut(order);
+    world.handleOrder = [&](const HostOrder& order) {
+        OrderResult result = world.applyOrder(order);
         bool isFirst = order.kind == OrderKind::Join && world.ordersTo(order.hostId, OrderKind::Join).size() == 1;
         return isFirst && order.hostId == "b" ? OrderResult::Lost : result;
     };
@@ -213,26 +214,27 @@
     EXPECT_EQ(world.ordersTo("a", OrderKind::Join).size(), 1u) << "the same replica";
 }
 
-TEST(ReplicaPlanner, TakesTheHeadOutBeforeItsMembersMove)
+TEST(ReplicaPlanner, OrdersHeadToLeaveBeforeMembersJoinElsewhere)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
-    world->still.insert(head);
-    world->contacts[member] = HostContact::Silent;
+    world->stalledHeads.insert(head);
+    world->contacts[member] = HostContact::Unreachable;
     world->orders.clear();
     world->run(Milliseconds(500));
     ASSERT_FALSE(world->orders.empty());
     EXPECT_EQ(world->orders.front().kind, OrderKind::Leave);
     EXPECT_EQ(world->orders.front().hostId, head);
     world->run(Milliseconds(1000));
-    EXPECT_FALSE(world->ordersTo(head, OrderKind::Join).empty()) << "the survivor joins the spare host";
+    EXPECT_FALSE(world->ordersTo(head, OrderKind::Join).empty())
+        << "the remaining host joins a replica with the spare host";
 }
 
-// It holds nothing of before and its count of orders starts anew; the others of its replica are free at once.
-TEST(ReplicaPlanner, RebuildsTheReplicaOfAHeadThatStartedAgain)
+// A restarted head has no membership and its order count starts at zero. The other members are free at once.
+TEST(ReplicaPlanner, ReformsReplicaAfterHeadRestart)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
     Host again = *world->table.find(head);
@@ -246,93 +248,94 @@
     world->run(Milliseconds(2500));
     auto joins = world->ordersTo(again.id, OrderKind::Join);
     ASSERT_FALSE(joins.empty());
-    EXPECT_EQ(joins.front().expectedOrders, 0u);
+    EXPECT_EQ(joins.front().expectedOrderCount, 0u);
     ASSERT_FALSE(world->openReplicas().empty());
     EXPECT_TRUE(world->ordersTo(head, OrderKind::Join).empty());
 }
 
-// A head that drains stops listening, then finishes what it has: its members are not free before it has ended.
-TEST(ReplicaPlanner, KeepsMembersOfADrainingHeadThatStoppedListening)
+// A draining head stops listening, then finishes its requests: its members are not free before it has ended.
+TEST(ReplicaPlanner, KeepsMembersUntilDrainingHeadHasEnded)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
     Host draining = *world->table.find(head);
     draining.draining = true;
     world->table.listed(draining, world->now);
     world->contacts[head] = HostContact::Refused;
-    world->still.insert(head);
+    world->stalledHeads.insert(head);
     world->orders.clear();
     world->run(Milliseconds(5000));
     EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty());
     world->table.unlisted(head);
     world->run(Milliseconds(2000));
-    EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty()) << "its entry goes when it has ended";
+    EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty())
+        << "the list entry is removed when the head has ended";
 }
 
-TEST(ReplicaPlanner, FreesMembersOfACrashedHeadSoon)
+TEST(ReplicaPlanner, FreesMembersOfCrashedHead)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
     world->contacts[head] = HostContact::Refused;
     world->orders.clear();
     world->run(Milliseconds(500));
-    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty()) << "a notice of leaving may be on its way";
+    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).empty()) << "a leave notice may be in flight";
     world->run(Milliseconds(1500));
     EXPECT_FALSE(world->ordersTo(member, OrderKind::Join).empty());
 }
 
-// A head that no node reaches may be alive and open behind a partition, now and after it heals: a member may only
-// join another replica once it has left this one.
-TEST(ReplicaPlanner, HasMembersLeaveAHeadThatNobodyReaches)
+// A head that no node reaches may be alive and open behind a partition, and still be so after it heals. A member may
+// join another replica only once it has left this one.
+TEST(ReplicaPlanner, OrdersMembersToLeaveUnreachableHead)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
-    world->still.insert(head);
-    world->contacts[head] = HostContact::SilentToAll;
+    world->stalledHeads.insert(head);
+    world->contacts[head] = HostContact::UnreachableByAll;
     world->orders.clear();
     world->run(Milliseconds(1500));
     ASSERT_FALSE(world->ordersTo(member, OrderKind::Leave).empty());
     ASSERT_FALSE(world->ordersTo(member, OrderKind::Join).empty());
     auto isForMember = [&](const HostOrder& order) { return order.hostId == member; };
     EXPECT_EQ(std::ranges::find_if(world->orders, isForMember)->kind, OrderKind::Leave);
-    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "it would not arrive";
+    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "the order would not arrive";
 }
 
-TEST(ReplicaPlanner, NeverMovesAMemberThatHasNotLeft)
+TEST(ReplicaPlanner, DoesNotJoinMemberElsewhereBeforeItHasLeft)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     std::string member = memberOf(*world);
-    world->still.insert(head);
-    world->contacts[head] = HostContact::SilentToAll;
-    world->obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Leave ? OrderResult::Lost : world->carryOut(order);
+    world->stalledHeads.insert(head);
+    world->contacts[head] = HostContact::UnreachableByAll;
+    world->handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Leave ? OrderResult::Lost : world->applyOrder(order);
     };
     world->table.unlisted(head);
     world->run(Milliseconds(20'000));
-    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).size() == 1) << "only the one that formed the pair";
+    EXPECT_TRUE(world->ordersTo(member, OrderKind::Join).size() == 1) << "only the join of the first replica";
 }
 
-// One node does not reach the head, others do: it goes on serving them.
-TEST(ReplicaPlanner, KeepsAReplicaWhoseHeadOthersReach)
+// One node does not reach the head but others do, and it continues to serve them.
+TEST(ReplicaPlanner, KeepsReplicaWhoseHeadOtherNodesReach)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
-    world->contacts[head] = HostContact::Silent;
+    world->contacts[head] = HostContact::Unreachable;
     world->orders.clear();
     world->run(Milliseconds(3000));
     EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty());
     EXPECT_TRUE(world->ordersTo(memberOf(*world), OrderKind::Leave).empty());
 }
 
-// A partition from the store alone: one host in nine lost its entry within a second, and each took its replica along
-// though it answered all the while, 60 of 131 replicas in all.
-TEST(ReplicaPlanner, KeepsAReplicaWhoseMemberLostOnlyItsWayToTheStore)
+// In a partition from the store alone, one host in nine lost its list entry within a second. Their replicas were
+// dissolved although the hosts still answered: 60 of 131 replicas in total.
+TEST(ReplicaPlanner, KeepsReplicaWhoseUnlistedMemberStillAnswers)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string member = memberOf(*world);
     world->table.unlisted(member);
     world->orders.clear();
@@ -341,15 +344,15 @@
         EXPECT_TRUE(world->ordersTo(id, OrderKind::Leave).empty());
         EXPECT_TRUE(world->ordersTo(id, OrderKind::Close).empty());
     }
-    EXPECT_TRUE(world->planner.awaited().contains(member)) << "it is asked all the while";
+    EXPECT_TRUE(world->planner.hostsToPoll().contains(member)) << "the member is still polled";
     world->contacts[member] = HostContact::Refused;
     world->run(Milliseconds(1000));
-    EXPECT_FALSE(world->ordersTo(headOf(*world), OrderKind::Leave).empty()) << "it has ended";
+    EXPECT_FALSE(world->ordersTo(headOf(*world), OrderKind::Leave).empty()) << "the member has ended";
 }
 
-TEST(ReplicaPlanner, ClosesAReplicaWhoseMemberLeavesAndLetsItFinish)
+TEST(ReplicaPlanner, ClosesReplicaOfDrainingMemberWithoutDissolvingIt)
 {
-    auto world = servingPair();
+    auto world = worldWithServingPair();
     std::string head = headOf(*world);
     Host leaving = *world->table.find(memberOf(*world));
     leaving.draining = true;
@@ -357,15 +360,15 @@
     world->orders.clear();
     world->run(Milliseconds(3000));
     EXPECT_EQ(world->ordersTo(head, OrderKind::Close).size(), 1u);
-    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "it still finishes what it has";
+    EXPECT_TRUE(world->ordersTo(head, OrderKind::Leave).empty()) << "the replica still finishes its requests";
 }
 
-// Two hosts of a large replica are lost. All hosts hold both models, so a small replica of the domain gives way and the
-// large one is whole again without a load, which would take twelve to sixteen seconds here.
-TEST(ReplicaPlanner, RebuildsALostReplicaWithoutALoad)
+// Two hosts of a large replica are lost. All hosts hold both models, so a small replica of the domain is dissolved and
+// the large one is formed again without a load, which would take 12 to 16 s here.
+TEST(ReplicaPlanner, RebuildsReplicaWithoutLoad)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 2 }, { "small", 6 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 2 }, { "small", 6 } };
     for (int i = 0; i < 20; ++i)
         world.addHost("host-" + std::to_string(i), i < 10 ? "d1" : "d2");
     world.run(Milliseconds(2000));
@@ -376,23 +379,23 @@
     EXPECT_EQ(world.loadsByStage, 20) << "each host holds two models before traffic";
     auto large = std::ranges::find(replicas, std::string("large"), &ReplicaView::model);
     ASSERT_NE(large, replicas.end());
-    world.loadsAreFree = false;
-    world.wanted = { { "large", 3 }, { "small", 4 } };
+    world.isBeforeTraffic = false;
+    world.wantedReplicas = { { "large", 3 }, { "small", 4 } };
     world.loadsByJoin = 0;
     for (const Host* lost : { large->members[1], large->members[2] })
-        world.contacts[lost->id] = HostContact::Silent;
-    world.still.insert(large->head->id);
+        world.contacts[lost->id] = HostContact::Unreachable;
+    world.stalledHeads.insert(large->head->id);
     world.run(Milliseconds(4000));
     EXPECT_EQ(std::ranges::count(world.openReplicas(), std::string("large"), &ReplicaView::model), 2);
     EXPECT_EQ(world.loadsByJoin, 0);
 }
 
-// Three idle hosts hold the large model, of which a replica takes four, and no new host comes: each replica loses one
-// member in turn until then. Two of them load the small model and serve again.
-TEST(ReplicaPlanner, StuckHostsLoadWhatTheyCanServeTogether)
+// Three idle hosts hold the large model, whose replicas take four, and no host is added. This state arises when
+// replicas lose one member after another. Two of the hosts load the small model and serve again.
+TEST(ReplicaPlanner, StrandedIdleHostsLoadAnotherModel)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 5 }, { "small", 5 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 5 }, { "small", 5 } };
     for (int i = 0; i < 3; ++i) {
         std::string id = "host-" + std::to_string(i);
         world.addHost(id, "d1");
@@ -406,34 +409,33 @@
         status.membership.reset();
         world.table.reported(id, status, world.now += Milliseconds(1));
     }
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     world.run(Milliseconds(3000));
     ASSERT_EQ(world.openReplicas().size(), 1u);
     EXPECT_EQ(world.openReplicas()[0].model, "small");
 }
 
-// A replica that waited for the load of one host would keep the others from serving as long.
-// 40 domains, and traffic that turned to the large model: several domains shift at the same time.
+// 40 domains, and demand that moves to the large model: several domains shift replicas at the same time.
 TEST(ReplicaPlanner, ShiftsInSeveralDomainsOfALargeFleet)
 {
     LargeWorld world;
-    world.wanted = { { "large", 5 }, { "small", 150 } };
+    world.wantedReplicas = { { "large", 5 }, { "small", 150 } };
     world.run(Milliseconds(25'000));
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     auto largeReplicas = [&] {
         return std::ranges::count_if(
             world.openReplicas(), [](const ReplicaView& replica) { return replica.model == "large"; });
     };
     auto before = largeReplicas();
-    world.wanted = { { "large", 60 }, { "small", 80 } };
+    world.wantedReplicas = { { "large", 60 }, { "small", 80 } };
     world.run(Milliseconds(5000));
-    EXPECT_GE(largeReplicas() - before, 12) << "one at a time makes four or five in this time";
+    EXPECT_GE(largeReplicas() - before, 12) << "one shift at a time makes four or five in this time";
 }
 
-// One host that gives no report of itself keeps its own domain waiting, and no other.
+// A host that does not report delays its own domain only.
 TEST(ReplicaPlanner, FormsInOtherDomainsWhileOneWaitsForAReport)
 {
-    PlannerWorld world({ modelOf("large", 4) });
+    PlannerWorld world({ makeModel("large", 4) });
     for (int i = 0; i < 12; ++i)
         world.addHost("host-" + std::to_string(i), "domain-" + std::to_string(i % 3));
     for (int i = 0; i < 12; ++i) {
@@ -441,22 +443,22 @@
         used.status.stagedModels = { "large" };
         world.table.listed(used, world.now);
     }
-    world.loadsAreFree = false;
-    world.silentReports.insert("host-0"); // Of the first domain, so that it is the first choice.
+    world.isBeforeTraffic = false;
+    world.nonReportingHosts.insert("host-0"); // In the first domain, so that it is chosen first.
     world.run(Milliseconds(1000));
     EXPECT_EQ(world.openReplicas().size(), 2u);
 }
 
-// Nineteen hosts: two replicas of eight and three spares. A lost member's place is taken by a spare at once, as that
-// holds the same model; the seven that are left never become replicas of four.
-TEST(ReplicaPlanner, SparesMakeALargeReplicaWholeAgain)
+// 19 hosts: two replicas of eight and three spares. A spare host replaces a lost member at once, as it holds the same
+// model; the seven remaining hosts never form replicas of four.
+TEST(ReplicaPlanner, SpareHostsReplaceLostMembersOfLargeReplica)
 {
-    PlannerWorld world({ modelOf("large", 8), modelOf("small", 4) });
-    world.wanted = { { "large", 3 }, { "small", 1 } };
+    PlannerWorld world({ makeModel("large", 8), makeModel("small", 4) });
+    world.wantedReplicas = { { "large", 3 }, { "small", 1 } };
     for (int i = 0; i < 19; ++i)
         world.addHost("host-" + std::to_string(i), "d1");
     world.run(Milliseconds(3000));
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     auto largeReplicas = [&] {
         return std::ranges::count_if(
             world.openReplicas(), [](const ReplicaView& replica) { return replica.model == "large"; });
@@ -477,32 +479,33 @@
     EXPECT_EQ(world.loadsByJoin, loads) << "no load from the weight store";
 }
 
+// A replica that waits for the load of one host would keep the others from serving for that time.
 TEST(ReplicaPlanner, FormsNoReplicaOfColdHostsDuringTraffic)
 {
-    PlannerWorld world({ modelOf("large", 4), modelOf("small", 2) });
-    world.wanted = { { "large", 5 }, { "small", 1 } };
+    PlannerWorld world({ makeModel("large", 4), makeModel("small", 2) });
+    world.wantedReplicas = { { "large", 5 }, { "small", 1 } };
     for (int i = 0; i < 3; ++i)
         world.addHost("host-" + std::to_string(i), "d1");
     world.run(Milliseconds(2000));
-    world.loadsAreFree = false;
+    world.isBeforeTraffic = false;
     world.addHost("cold", "d1");
-    world.obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Stage ? OrderResult::Accepted : world.carryOut(order);
+    world.handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Stage ? OrderResult::Accepted : world.applyOrder(order);
     };
     world.run(Milliseconds(3000));
     EXPECT_TRUE(world.ordersTo("cold", OrderKind::Join).empty());
     auto stages = world.ordersTo("cold", OrderKind::Stage);
     ASSERT_EQ(stages.size(), 1u);
-    EXPECT_EQ(stages[0].model, "large") << "what the other three lack one host for";
+    EXPECT_EQ(stages[0].model, "large") << "the other three hosts hold it and need a fourth";
 }
 
-// It loads for an earlier controller. Asked at each turn, it once got 93 orders on one day.
-TEST(ReplicaPlanner, LeavesAHostThatRefusesALoadAloneForAWhile)
+// The host is loading for an earlier controller. When it was ordered again in each plan, a host got 93 orders in a day.
+TEST(ReplicaPlanner, DelaysRetryAfterRefusedLoad)
 {
-    PlannerWorld world({ modelOf("small", 2) });
-    world.loadsAreFree = false;
-    world.obey = [&](const HostOrder& order) {
-        return order.kind == OrderKind::Stage ? OrderResult::Unfit : world.carryOut(order);
+    PlannerWorld world({ makeModel("small", 2) });
+    world.isBeforeTraffic = false;
+    world.handleOrder = [&](const HostOrder& order) {
+        return order.kind == OrderKind::Stage ? OrderResult::Unfit : world.applyOrder(order);
     };
     world.addHost("busy", "d1");
     world.run(Milliseconds(2500));
@@ -511,15 +514,15 @@
     EXPECT_EQ(world.ordersTo("busy", OrderKind::Stage).size(), 2u);
 }
 
-// The weight store shares its rate: with more loads at once than it takes, none is done soon.
-TEST(ReplicaPlanner, BeginsNoMoreLoadsThanTheWeightStoreTakes)
+// Concurrent loads share the weight store's bandwidth: with too many at once, none finishes soon.
+TEST(ReplicaPlanner, LimitsConcurrentLoadsFromWeightStore)
 {
-    PlannerWorld world({ modelOf("small", 2) });
-    world.loadsAreFree = false;
+    PlannerWorld world({ makeModel("small", 2) });
+    world.isBeforeTraffic = false;
     world.service.timing.concurrentLoads = 4;
-    world.obey = [&](const HostOrder& order) {
+    world.handleOrder = [&](const HostOrder& order) {
         bool isLoad = order.kind == OrderKind::Join || order.kind == OrderKind::Stage;
-        return isLoad ? OrderResult::Accepted : world.carryOut(order);
+        return isLoad ? OrderResult::Accepted : world.applyOrder(order);
     };
     for (int i = 0; i < 20; ++i)
         world.addHost("host-" + std::to_string(i), "d1");
@@ -534,12 +537,12 @@
 
 TEST(ReplicaPlanner, LaterControllersUseHigherEpochs)
 {
-    PlannerWorld world = pairOfHosts();
+    PlannerWorld world = worldWithSmallModel();
     world.addHost("a", "d1");
     world.addHost("b", "d1");
     world.run(Milliseconds(1000));
     uint64_t epoch = world.openReplicas().at(0).epoch;
-    PlannerWorld later = pairOfHosts();
+    PlannerWorld later = worldWithSmallModel();
     later.planner = ReplicaPlanner(8);
     later.addHost("a", "d1");
     later.addHost("b", "d1");
