--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -17,7 +17,7 @@
     Error invalid(std::string_view text)
     {
         return { ErrorCode::InvalidArgument, Step::Settings, {},
-            fmt::format("'{}' is not an IP number with a port, such as 127.0.0.1:7100 or [::1]:7100", text) };
+            fmt::format("'{}' is not a numeric IP:port pair, such as 127.0.0.1:7100 or [::1]:7100", text) };
     }
 
 }
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// A TCP or UDP endpoint by IP number; names are never resolved.
+// A TCP or UDP endpoint with a numeric IP address; names are never resolved.
 struct Address {
     std::string ip;
     uint16_t port = 0;
@@ -18,7 +18,7 @@
     static Result<Address> parse(std::string_view);
 
     std::string toString() const;
-    auto operator<=>(const Address&) const = default; // NOLINT(modernize-use-nullptr): of the defaulted body
+    auto operator<=>(const Address&) const = default; // NOLINT(modernize-use-nullptr): false positive
 };
 
 } // namespace Kumquatpick
--- a/src/base/base64.h
+++ b/src/base/base64.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// Standard alphabet with padding: bytes in a JSON string without a single character to escape.
+// Standard alphabet with padding; the text needs no escaping in a JSON string.
 std::string base64Encode(std::span<const uint8_t>);
 std::optional<std::vector<uint8_t>> base64Decode(std::string_view);
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -6,8 +6,8 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-// Decisions are handed the time; only the daemon reads a clock.
-// Monotonic time measures leases, timeouts and ages; wall time only travels in records and keys.
+// Decision code takes the time as a parameter; only the daemon reads a clock.
+// Monotonic time measures leases, timeouts and ages; wall-clock time is used only in records and keys.
 using MonotonicTime = std::chrono::steady_clock::time_point;
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Milliseconds>;
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -9,23 +9,23 @@
 
 namespace Kumquatpick {
 
-// What went wrong, in the terms a caller of a function can act on.
+// Kinds of errors that a calling function can handle differently.
 enum class ErrorCode : uint8_t {
     InvalidArgument,
     Unreachable, // The connection was refused or could not be made: nothing was sent.
     Timeout, // Something may have been sent; no answer came in time.
     BrokenOff, // The connection ended after something was sent.
-    Refused, // The peer answered and said no.
-    Stale, // The peer knows a newer epoch, version or fencing number.
+    Refused, // The peer answered with a refusal.
+    Stale, // The peer has a newer epoch, version or fencing number.
     Malformed, // The peer's answer could not be read.
     Overloaded,
     NotFound,
     ShuttingDown,
-    CallerGone, // Nobody waits for the answer any more.
+    CallerGone, // The caller no longer waits for the answer.
     Internal,
 };
 
-// Where in the handling of a request, claim, publish or stop an error arose.
+// The step in handling a request, claim, publish or stop in which an error occurred.
 enum class Step : uint8_t {
     Settings,
     Accept,
@@ -51,7 +51,7 @@
     Stop,
 };
 
-// An error with the step and the peer at which it arose; peer is an address or a name, empty if local.
+// An error with the step and the peer at which it occurred; peer is an address or a name, empty if local.
 struct Error {
     ErrorCode code = ErrorCode::Internal;
     Step step = Step::Settings;
@@ -70,8 +70,8 @@
 
 inline leaf::error_id fail(Error error) { return leaf::new_error(std::move(error)); }
 
-// Runs an operation that returns Result<T> and hands back either its value or its Error,
-// for places where an error is data (a queue, a test, an answer) rather than a way out.
+// Runs an operation that returns Result<T> and returns its value or its Error in a variant,
+// for code that handles errors as data (a queue, a test, an answer) instead of propagating them.
 template <typename Operation> auto settle(Operation&& operation)
 {
     using Value = std::decay_t<decltype(operation().value())>;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -8,34 +8,34 @@
 
 namespace Kumquatpick {
 
-// Position of a record in the log; also the fencing number of what the record decided.
-// Offsets start at 1; 0 stands for "none yet".
+// Position of a record in the log; also the fencing number of the decision in the record.
+// Offsets start at 1; 0 means "none yet".
 using Offset = uint64_t;
 
-// One life of one node process. A restarted process has another incarnation, however alike the rest.
+// One run of a node process. A restarted process keeps its name and gets a new incarnation.
 struct NodeId {
     std::string name;
     uint64_t incarnation = 0;
 
-    auto operator<=>(const NodeId&) const = default; // NOLINT(modernize-use-nullptr): of the defaulted body
+    auto operator<=>(const NodeId&) const = default; // NOLINT(modernize-use-nullptr): false positive
 };
 
-// Where and what a node is, as peers and the log name it.
+// Identity, zone and addresses of a node, as peers and the log record them.
 struct NodeInfo {
     NodeId id;
     std::string zone;
     Address peerAddress; // Cap'n Proto RPC between nodes.
     Address callerAddress; // HTTP for callers and operators.
 
-    auto operator<=>(const NodeInfo&) const = default; // NOLINT(modernize-use-nullptr): of the defaulted body
+    auto operator<=>(const NodeInfo&) const = default; // NOLINT(modernize-use-nullptr): false positive
 };
 
-// One arrival of a request at an entry node; no two arrivals in the system share it.
+// Identifies one arrival of a request at an entry node; unique in the system.
 struct ArrivalId {
     uint64_t incarnation = 0; // Of the entry node.
     uint64_t serial = 0;
 
-    auto operator<=>(const ArrivalId&) const = default; // NOLINT(modernize-use-nullptr): of the defaulted body
+    auto operator<=>(const ArrivalId&) const = default; // NOLINT(modernize-use-nullptr): false positive
 };
 
 } // namespace Kumquatpick
--- a/src/base/logline.cpp
+++ b/src/base/logline.cpp
@@ -36,7 +36,7 @@
     line["time"] = timestamp();
     line["level"] = levelNames[static_cast<size_t>(level)];
     line["message"] = message;
-    // One write per line: stderr is unbuffered, so a single call keeps lines whole between threads.
+    // stderr is unbuffered, so one call per line keeps the lines of several threads from interleaving.
     std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
     std::fwrite(text.data(), 1, text.size(), stderr);
 }
--- a/src/base/logline.h
+++ b/src/base/logline.h
@@ -22,7 +22,7 @@
 void logLine(LogLevel, std::string_view message, const nlohmann::json& fields);
 void logLine(LogLevel, std::string_view message);
 
-// The same with the step, peer and detail of an error.
+// Logs a warning with the step, peer, code and detail of an error.
 void logError(std::string_view message, const Error&);
 
 } // namespace Kumquatpick
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    constexpr unsigned bucketCount = 30; // Five a decade.
+    constexpr unsigned bucketCount = 30; // Five per decade.
     constexpr double lowestEdge = 1e-4; // Seconds.
     constexpr double highestEdge = 100;
 
@@ -22,7 +22,7 @@
         double sum = 0;
     };
 
-    // `requests_total{outcome="answered"}` in its two parts; labels come without braces.
+    // The two parts of `requests_total{outcome="answered"}`; the labels are without braces.
     struct SplitName {
         std::string_view family;
         std::string_view labels;
@@ -51,7 +51,7 @@
         return latency.buckets.axis().bin(index).upper();
     }
 
-    // The text form wants all lines of a family together under one TYPE line.
+    // The text format requires all lines of a family together under one TYPE line.
     using Families = std::map<std::string, std::string, std::less<>>;
 
     std::string& familyText(Families& families, std::string_view family, std::string_view type)
@@ -138,7 +138,7 @@
     latency.sum += seconds;
 }
 
-// Interpolates inside the bucket; what lies outside the edges is given as the edge.
+// Interpolates inside the bucket; values outside the edges are clamped to the edge.
 double Metrics::quantile(std::string_view nameWithLabels, double share) const
 {
     Shard& shard = shardOf(nameWithLabels);
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -14,7 +14,7 @@
 
 namespace Kumquatpick {
 
-// Counters, gauges and latency histograms by name, printed in the Prometheus text form.
+// Counters, gauges and latency histograms by name, printed in the Prometheus text format.
 // Names carry their labels: `requests_total{outcome="answered"}`; the `kumquatpick_` prefix is added on printing.
 class Metrics {
 public:
@@ -23,7 +23,7 @@
 
     void count(std::string_view nameWithLabels, uint64_t by = 1);
     void set(std::string_view nameWithLabels, double value);
-    // Seconds, into logarithmic buckets from 0.1 ms to 100 s.
+    // Records seconds in logarithmic buckets from 0.1 ms to 100 s.
     void observe(std::string_view nameWithLabels, std::chrono::nanoseconds);
 
     // The value below which the given share (0..1) of the observations lie, in seconds; 0 if there are none.
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -6,13 +6,13 @@
 
 namespace Kumquatpick {
 
-// Seeded and repeatable; decisions are handed one, so that a test can repeat them.
+// Repeatable by its seed; decision code takes it as a parameter, so that tests are repeatable.
 using Random = std::mt19937_64;
 
-// A generator seeded from the operating system, for incarnations, keys and jitter of a real process.
+// A generator seeded by the operating system, for incarnations, keys and jitter in production.
 Random seededFromSystem();
 
-// 32 lower-case hexadecimal digits, for record and request identities.
+// 32 lower-case hexadecimal digits, for record and request identifiers.
 std::string randomHex128(Random&);
 
 } // namespace Kumquatpick
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -40,7 +40,7 @@
         return fmt::format("{}\n      {}\n{}", line, setting.help, tail);
     }
 
-    // Takes whatever no flag wanted, so that every stray argument is named and not just the first.
+    // Collects the arguments that match no flag, so that every stray one is reported and not just the first.
     class Leftovers : public TCLAP::Arg {
     public:
         Leftovers()
@@ -48,7 +48,7 @@
         {
         }
 
-        // Behind all others, which are asked first.
+        // Last in the list, as TCLAP offers an argument to each entry in order.
         void addToList(std::list<TCLAP::Arg*>& list) const override { list.push_back(const_cast<Leftovers*>(this)); }
 
         bool processArg(int* index, std::vector<std::string>& arguments) override
@@ -85,7 +85,7 @@
 
 namespace {
 
-    // The command line as TCLAP took it apart; every value is still a text.
+    // The command line as TCLAP parsed it; all values are still text.
     struct GivenArguments {
         bool help = false;
         bool version = false;
@@ -94,7 +94,7 @@
         std::vector<std::string> faults;
     };
 
-    // TCLAP takes one delimiter only: `--flag=value` becomes two arguments.
+    // TCLAP supports only one delimiter, so `--flag=value` becomes two arguments.
     std::vector<std::string> splitAssignments(
         std::span<const std::string> arguments, const std::vector<SettingGroup>& groups)
     {
@@ -115,7 +115,7 @@
         return split;
     }
 
-    // TCLAP's "--" would switch flags off for the rest of the process.
+    // Removes "--", after which TCLAP would recognize no flags for the rest of the process.
     void takeIgnoreRest(std::vector<std::string>& arguments, std::vector<std::string>& leftovers)
     {
         auto isIgnoreRest = [](const std::string& argument) { return argument == "--" || argument == "--ignore_rest"; };
@@ -123,8 +123,8 @@
         std::erase_if(arguments, isIgnoreRest);
     }
 
-    // TCLAP stops at its first fault. Lists and a catch-all argument leave it only one to find, a flag at
-    // the very end without its value; the rest is found here, all of it.
+    // TCLAP stops at its first error. As all flags are lists and stray arguments are collected, the only error left
+    // to TCLAP is a last flag without its value. All other faults are found by our own checks.
     GivenArguments takeApart(std::span<const std::string> arguments, const std::vector<SettingGroup>& groups)
     {
         GivenArguments given;
@@ -229,7 +229,7 @@
     m_help += "\n\n";
     for (const Positional& positional : m_program.positionals)
         m_help += fmt::format("  {:<34} {}\n", positional.name, positional.help);
-    m_help += "Each flag can be set by the environment variable beside it; the flag goes before the variable.\n";
+    m_help += "Each flag can be set by the environment variable beside it; the flag takes precedence.\n";
     for (const SettingGroup& group : m_groups) {
         m_help += fmt::format("\n{}:\n", group.title);
         for (const Setting& setting : group.settings)
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -17,29 +17,29 @@
 
 namespace Kumquatpick {
 
-// Where a setting's value goes. Its type decides how the text is read and which unit it has;
-// what is there before parsing is the default. Only a vector may be given several times, and only a bool
+// The variable that receives a setting's value. Its type decides how the text is read and which unit it has;
+// its value before parsing is the default. Only a vector may be given several times, and only a bool
 // is a switch without a value.
 using SettingTarget = std::variant<std::string*, uint64_t*, std::optional<uint64_t>*, Milliseconds*,
     std::chrono::seconds*, Address*, std::optional<Address>*, std::vector<Address>*, bool*, LogLevel*>;
 
-// One setting, by flag (`--caller-threads 512` or `--caller-threads=512`) and by environment variable
-// (KUMQUATPICK_CALLER_THREADS). The flag goes before the variable; an empty variable counts as not set.
+// One setting, given by flag (`--caller-threads 512` or `--caller-threads=512`) or by environment variable
+// (KUMQUATPICK_CALLER_THREADS). The flag takes precedence; an empty variable counts as not set.
 struct Setting {
     std::string_view flag; // "caller-threads"
     SettingTarget into;
     std::string_view help;
     bool required = false;
-    std::string_view unit = {}; // Of a number, such as "bytes"; durations bring their own.
-    uint64_t lowest = 0; // Of numbers and durations, in their unit.
+    std::string_view unit = {}; // Unit of a number, such as "bytes"; durations have their own.
+    uint64_t lowest = 0; // For numbers and durations, in their unit.
     uint64_t highest = std::numeric_limits<int64_t>::max();
-    std::span<const std::string_view> choices = {}; // The texts allowed; empty for any.
-    bool (*accepts)(std::string_view) = nullptr; // Checks a text; expected says what it takes.
+    std::span<const std::string_view> choices = {}; // The allowed texts; empty for any.
+    bool (*accepts)(std::string_view) = nullptr; // Checks a text; `expected` describes valid ones.
     std::string_view expected = {};
-    std::string_view variable = {}; // In place of the one made from the flag.
-    bool flagOnly = false; // For what is said anew each time, where a forgotten variable would mislead.
+    std::string_view variable = {}; // Replaces the name derived from the flag.
+    bool flagOnly = false; // For values that differ in each call, where a variable set earlier would mislead.
 
-    // Empty if there is none.
+    // The variable's name; empty if there is none.
     std::string environmentVariable() const;
 };
 
@@ -55,7 +55,7 @@
     std::string_view help;
 };
 
-// What the caller of parse() prints before it ends: help and version go to standard output with code 0,
+// The text that the caller of parse() prints before it exits: help and version go to standard output with code 0,
 // faults to standard error with code 2.
 struct SettingsExit {
     int code = 0;
@@ -64,7 +64,7 @@
 
 using Environment = std::function<std::optional<std::string>(const std::string& variable)>;
 
-// The variables of this process.
+// Reads a variable of this process.
 std::optional<std::string> processEnvironment(const std::string& variable);
 
 // The settings of one program or subcommand, each defined once, with `--help` and `--version`.
@@ -79,17 +79,17 @@
 
     SettingsParser(Program, std::vector<SettingGroup>);
 
-    // Arguments without the program's name. Fills the targets; all faults are named at once.
+    // Takes the arguments without the program's name. Fills the targets and reports all faults at once.
     std::optional<SettingsExit> parse(std::span<const std::string> arguments, const Environment&);
     std::string help() const;
-    // For rules over several settings, found after parsing.
+    // For faults in combinations of settings, which are checked after parsing.
     SettingsExit faults(std::span<const std::string> lines) const;
     const std::vector<SettingGroup>& groups() const { return m_groups; }
 
 private:
     Program m_program;
     std::vector<SettingGroup> m_groups;
-    std::string m_help; // Made while the targets still hold the defaults.
+    std::string m_help; // Built while the targets still hold the defaults.
 };
 
 } // namespace Kumquatpick
--- a/src/base/settingvalue.cpp
+++ b/src/base/settingvalue.cpp
@@ -149,11 +149,11 @@
         std::string operator()(const std::optional<uint64_t>*) const { return number(setting.unit); }
         std::string operator()(const Milliseconds*) const { return number("milliseconds"); }
         std::string operator()(const std::chrono::seconds*) const { return number("seconds"); }
-        std::string operator()(const Address*) const { return "an IP number with a port, such as 127.0.0.1:7100"; }
+        std::string operator()(const Address*) const { return "a numeric IP:port pair, such as 127.0.0.1:7100"; }
         std::string operator()(const std::optional<Address>*) const { return (*this)(static_cast<Address*>(nullptr)); }
         std::string operator()(const std::vector<Address>*) const
         {
-            return "IP numbers with ports, separated by commas, such as 127.0.0.1:7100,127.0.0.1:7200";
+            return "numeric IP:port pairs, separated by commas, such as 127.0.0.1:7100,127.0.0.1:7200";
         }
         std::string operator()(const bool*) const { return "true or false"; }
         std::string operator()(const LogLevel*) const { return fmt::format("one of {}", fmt::join(levelNames, ", ")); }
--- a/src/base/settingvalue.h
+++ b/src/base/settingvalue.h
@@ -7,14 +7,14 @@
 
 struct Setting;
 
-// Reads a text into the setting's target; false if it doesn't fit. A list may keep what came before the fault.
+// Reads a text into the setting's target; false if it is invalid. A list may keep elements before the invalid one.
 bool readSettingValue(const Setting&, std::string_view text);
 
-// What a value must be, to follow "is not".
+// Describes a valid value, to be printed after "is not".
 std::string expectedValue(const Setting&);
-// What the target holds now, with its unit; empty if there is none to speak of.
+// The target's current value with its unit; empty if there is no default to show.
 std::string shownDefault(const Setting&);
-// One word for the usage line; empty for a switch.
+// The value's placeholder in the usage line; empty for a switch.
 std::string_view valuePlaceholder(const Setting&);
 
 } // namespace Kumquatpick
--- a/src/base/shards.h
+++ b/src/base/shards.h
@@ -8,7 +8,7 @@
 
 namespace Kumquatpick {
 
-// A map split into shards, each under its own lock, so that threads working on different keys rarely meet.
+// A map split into shards, each under its own lock, so that threads working on different keys rarely contend.
 template <typename Key, typename Value, typename Hash = std::hash<Key>> class Shards {
 public:
     // Runs use(Value&) under the key's shard lock, default-constructing a missing value.
@@ -19,7 +19,7 @@
         return use(shard.values[key]);
     }
 
-    // Runs use(Value&) if the key is present; says whether it was.
+    // Runs use(Value&) if the key is present; returns whether it was.
     template <typename Use> bool ifPresent(const Key& key, Use&& use)
     {
         Shard& shard = shardOf(key);
@@ -38,7 +38,7 @@
         shard.values.erase(key);
     }
 
-    // Drops each entry for which the predicate(key, value) holds, one shard locked at a time.
+    // Erases each entry for which the predicate(key, value) holds, one shard locked at a time.
     template <typename Predicate> size_t eraseIf(Predicate&& predicate)
     {
         size_t erased = 0;
@@ -49,7 +49,7 @@
         return erased;
     }
 
-    // Visits each entry, one shard locked at a time; not a snapshot of the whole.
+    // Visits each entry, one shard locked at a time; not an atomic snapshot of the map.
     template <typename Visit> void forEach(Visit&& visit)
     {
         for (Shard& shard : m_shards) {
@@ -77,7 +77,7 @@
         std::unordered_map<Key, Value, Hash> values;
     };
 
-    // The upper bits of a mixed hash pick the shard, as the map inside uses the lower ones.
+    // The upper bits of a mixed hash select the shard, as the map inside uses the lower ones.
     Shard& shardOf(const Key& key)
     {
         constexpr uint64_t mix = 0x9E3779B97F4A7C15;
--- a/src/base/timer.cpp
+++ b/src/base/timer.cpp
@@ -58,7 +58,7 @@
     return { *this, id };
 }
 
-// A subscriber may cancel from inside its own callback; only others wait for the call to end.
+// A callback may cancel its own subscription; calls from other threads wait until a running callback returns.
 void TimerService::cancel(uint64_t id)
 {
     std::unique_lock lock(m_mutex);
@@ -79,7 +79,7 @@
         }
         auto now = monotonicNow();
         if (next->second->due > now) {
-            // A copy: the entry may be cancelled during the wait.
+            // Copied, as the entry may be cancelled during the wait.
             auto due = next->second->due;
             m_changed.wait_until(lock, due);
             continue;
--- a/src/base/timer.h
+++ b/src/base/timer.h
@@ -13,8 +13,8 @@
 
 namespace Kumquatpick {
 
-// One thread that calls its subscribers at their periods. A callback must not block for long:
-// work that waits for a peer is handed to the part's own thread.
+// Calls its subscribers periodically on one thread. A callback must not block for long:
+// work that waits for a peer belongs on a thread of the subscriber.
 class TimerService {
 public:
     // Cancels on destruction; after that the callback is not running and will not run again.
@@ -37,7 +37,7 @@
     TimerService(const TimerService&) = delete;
     TimerService& operator=(const TimerService&) = delete;
 
-    // Calls back every period, first one period from now; a late call is not made up for.
+    // Calls back every period, first after one period; after a delay, missed calls are not made up for.
     [[nodiscard]] Subscription every(Milliseconds period, std::function<void(MonotonicTime)>);
 
 private:
--- a/src/base/trace.cpp
+++ b/src/base/trace.cpp
@@ -19,7 +19,7 @@
     constexpr size_t traceIdDigits = 32;
     constexpr size_t spanIdDigits = 16;
     constexpr size_t headerLength = 55; // 00-TRACE-SPAN-FLAGS
-    constexpr int clientSpanKind = 3; // Of opentelemetry.proto.trace.v1.Span.SpanKind.
+    constexpr int clientSpanKind = 3; // SPAN_KIND_CLIENT of opentelemetry.proto.trace.v1.Span.
     constexpr int internalSpanKind = 1;
     constexpr int errorStatus = 2;
 
@@ -29,7 +29,7 @@
             text.begin(), text.end(), [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); });
     }
 
-    // An identity of all zeros is invalid by the standard.
+    // W3C Trace Context forbids identifiers of all zeros.
     bool isIdentity(std::string_view text)
     {
         return isLowerHex(text) && text.find_first_not_of('0') != std::string_view::npos;
@@ -85,7 +85,7 @@
 
 }
 
-// Later versions may append fields; version 00 is exactly this long and version ff does not exist.
+// Later versions may append fields; version 00 has exactly this length and version ff is invalid.
 std::optional<TraceContext> TraceContext::parse(std::string_view header)
 {
     if (header.size() < headerLength || header[2] != '-' || header[35] != '-' || header[52] != '-')
@@ -118,7 +118,7 @@
     constexpr mode_t readableByOwner = 0600;
     m_file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, readableByOwner);
     if (m_file < 0)
-        logLine(LogLevel::Warning, "trace export is off: the file can't be opened",
+        logLine(LogLevel::Warning, "trace export disabled: the file could not be opened",
             { { "path", path }, { "detail", std::strerror(errno) } });
 }
 
@@ -135,7 +135,7 @@
     std::string line = exportRequest(span, m_serviceName).dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
     std::lock_guard lock(m_mutex);
     if (!writeWhole(m_file, line))
-        logLine(LogLevel::Warning, "a span was not written", { { "detail", std::strerror(errno) } });
+        logLine(LogLevel::Warning, "could not append a span to the trace file", { { "detail", std::strerror(errno) } });
 }
 
 } // namespace Kumquatpick
--- a/src/base/trace.h
+++ b/src/base/trace.h
@@ -12,13 +12,13 @@
 
 namespace Kumquatpick {
 
-// W3C trace-context: what travels in the `traceparent` header.
+// W3C Trace Context, as sent in the `traceparent` header.
 struct TraceContext {
     std::string traceId; // 32 lower-case hexadecimal digits.
-    std::string spanId; // 16.
+    std::string spanId; // 16 lower-case hexadecimal digits.
     bool sampled = true;
 
-    // Reads a traceparent header; nothing if it is not valid (the caller then starts a new trace).
+    // Parses a traceparent header; std::nullopt if it is invalid (the caller then starts a new trace).
     static std::optional<TraceContext> parse(std::string_view header);
     static TraceContext fresh(Random&);
 
@@ -26,7 +26,7 @@
     std::string header() const;
 };
 
-// One hop of one request: accept, permit, dispatch, stream, ...
+// One step of one request: accept, permit, dispatch, stream, ...
 struct Span {
     TraceContext context;
     std::string parentSpanId;
@@ -37,7 +37,7 @@
     bool failed = false;
 };
 
-// Writes finished spans as OTLP JSON, one ExportTraceServiceRequest a line, to a file or to nowhere.
+// Writes finished spans as OTLP JSON, one ExportTraceServiceRequest per line, to a file, or discards them.
 class TraceExporter {
 public:
     // An empty path switches export off.
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -94,7 +94,7 @@
         "program: --worker-threads: '0' is not a whole number of threads from 1 to 100\n"
         "program: --worker-threads: '200' is not a whole number of threads from 1 to 100\n"
         "program: --listen or KUMQUATPICK_LISTEN: required; An address.\n"
-        "program: KUMQUATPICK_NODE: '127.0.0.1:2,localhost:3' is not IP numbers with ports, separated by commas, such "
+        "program: KUMQUATPICK_NODE: '127.0.0.1:2,localhost:3' is not numeric IP:port pairs, separated by commas, such "
         "as 127.0.0.1:7100,127.0.0.1:7200\n"
         "program: KUMQUATPICK_LOG_LEVEL: 'loud' is not one of debug, info, warning, error\n"
         "See program --help.\n");
@@ -116,7 +116,7 @@
     EXPECT_EQ(version->text, "program " KUMQUATPICK_VERSION "\n");
 }
 
-// An unset shell variable in quotes, say.
+// A quoted shell variable that is unset gives an empty argument.
 TEST(Settings, AnEmptyArgumentIsNoFile)
 {
     Values values;
@@ -125,7 +125,7 @@
     EXPECT_NE(exit->text.find("unknown argument ''"), std::string::npos) << exit->text;
 }
 
-// Whatever the arguments, the outcome is either usable values or an exit; nothing is thrown and no stray passes.
+// Any arguments give either usable values or an exit; nothing is thrown and no stray argument is accepted.
 RC_GTEST_PROP(SettingsProperty, AnyArgumentsGetAVerdict, ())
 {
     const std::vector<std::string> pieces { "", "-", "--", "-h", "-hx", "-xh", "--help", "--version", "--json",
--- a/tests/base/timer_test.cpp
+++ b/tests/base/timer_test.cpp
@@ -5,7 +5,8 @@
 
 namespace Kumquatpick {
 
-// The thread waits for the entry's time while it is cancelled; the sanitizer run found the wait reading it after that.
+// A sanitizer run found a use after free: the timer thread waited until the due time of an entry by reference
+// and read it after another thread had cancelled the entry.
 TEST(Timer, ASubscriptionMayBeCancelledWhileItIsWaitedFor)
 {
     TimerService timers;
@@ -27,7 +28,7 @@
         calls.wait(seen);
     subscription.cancel();
     int afterCancel = calls;
-    // Another subscriber's call comes after all that could still have come of the first one.
+    // The call of a second subscription comes after any late call of the first one.
     std::atomic<bool> called = false;
     auto other = timers.every(Milliseconds(2), [&](MonotonicTime) {
         called = true;
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -55,7 +55,7 @@
 
     bool isHost(const json& entry) { return std::holds_alternative<Host>(codec.host("i-1", entry.dump())); }
 
-    // Of any type but the one that the value has.
+    // A value of another JSON type than the given one.
     json ofAnotherType(const json& value, unsigned draw)
     {
         const std::vector<json> values { json::array({ 1 }), json { { "a", 1 } }, "text", -3, 2.5, true, nullptr };
@@ -97,7 +97,7 @@
     RC_ASSERT(std::holds_alternative<Error>(codec.config(cut)));
 }
 
-// In the list "sequence" counts heartbeats, in a report the orders accepted.
+// In the host list "sequence" counts heartbeats, in a report the accepted orders.
 TEST(PlatformCodec, TellsTheTwoSequencesApart)
 {
     auto listed = std::get<Host>(codec.host("i-1", R"({"service":"m","address":"10.0.0.9:80","zone":"z","capacity":17,
@@ -112,7 +112,7 @@
     EXPECT_FALSE(reported.membership);
 }
 
-// A host that starts again under its name is another life; what travels is the name.
+// A host that restarts under its name gets another id here; messages carry only the name.
 TEST(PlatformCodec, TellsTheLivesOfAHostApart)
 {
     Host host = std::get<Host>(codec.host("i-1", listEntry().dump()));
@@ -172,7 +172,7 @@
     RC_ASSERT(!std::holds_alternative<Host>(codec.host("i-1", text.substr(0, draw % text.size()))));
 }
 
-// Whatever another writer leaves between them, the other records of a page hold.
+// Unreadable entries of other writers do not affect the other records of a page.
 RC_GTEST_PROP(PlatformCodec, KeepsTheOtherRecordsOfAPage, (const std::string& bytes, unsigned type))
 {
     json entries = json::array();
@@ -206,7 +206,7 @@
     RC_ASSERT(records.front().key == "i-1" && records.back().key == "i-3" && records.back().offset == 42u);
 }
 
-// Keys are another writer's to choose.
+// Other writers choose the keys, so a key may contain any character.
 TEST(PlatformCodec, AsksOnAfterAnyKey)
 {
     HttpRequest request = codec.readNewest(LogName::BackendServers, "i-1&part=7 %");
@@ -228,7 +228,7 @@
     auto page = std::get<LogPage>(codec.logPage(LogName::BackendServers, 40, answer(200, body)));
     ASSERT_EQ(page.records.size(), 2u);
     EXPECT_EQ(page.records[0].key, "i-1");
-    EXPECT_EQ(page.records[1].value, std::nullopt) << "a key without a value is dropped";
+    EXPECT_EQ(page.records[1].value, std::nullopt) << "a key without a value is deleted";
     EXPECT_EQ(page.records[1].offset, 41u);
     EXPECT_EQ(page.nextOffset, 42u);
     auto cut = codec.logPage(LogName::BackendServers, 40, answer(200, body.substr(0, body.size() - 2)));
@@ -252,7 +252,7 @@
     EXPECT_EQ(std::get<Error>(codec.appendedAt(answer(503, "{}"))).code, ErrorCode::Overloaded);
 }
 
-// The key stays here; what the gateway says of itself is not the caller's to say.
+// The API key is not forwarded, and a caller can't forge the headers that the gateway sets.
 TEST(PlatformCodec, PassesOnWhatIsTheCallersAndNothingElse)
 {
     RequestHead head;
@@ -331,7 +331,7 @@
     EXPECT_EQ(body["ttlS"], 1.5);
 }
 
-// A server's word about itself is believed only where it can't be mistaken.
+// A limit counts only if it is unambiguous.
 TEST(PlatformCodec, ReadsTheRateThatAServerNames)
 {
     auto noticeOf = [](std::initializer_list<const char*> limits) {
@@ -349,7 +349,7 @@
         EXPECT_EQ(noticeOf({ nonsense }).requestsPerSecond, std::nullopt) << nonsense;
         EXPECT_NE(noticeOf({ nonsense }).unreadable, "") << nonsense;
     }
-    EXPECT_EQ(noticeOf({ "1", "2" }).requestsPerSecond, std::nullopt) << "which one it means can't be told";
+    EXPECT_EQ(noticeOf({ "1", "2" }).requestsPerSecond, std::nullopt) << "two different values are ambiguous";
     EXPECT_NE(noticeOf({ "1", "2" }).unreadable, "");
 }
 
@@ -363,9 +363,9 @@
     };
     EXPECT_EQ(noticeOf(503, "3").backoff, Milliseconds(3000));
     EXPECT_EQ(noticeOf(429, "0.25").backoff, Milliseconds(250));
-    EXPECT_EQ(noticeOf(200, "3").backoff, std::nullopt) << "only who refuses asks for it";
-    EXPECT_EQ(noticeOf(421, "3").backoff, std::nullopt) << "another life's refusal";
-    EXPECT_EQ(noticeOf(503, "31536000").backoff, std::chrono::seconds(120)) << "no server is left alone for a year";
+    EXPECT_EQ(noticeOf(200, "3").backoff, std::nullopt) << "only a refusal carries a backoff";
+    EXPECT_EQ(noticeOf(421, "3").backoff, std::nullopt) << "sent by another instance";
+    EXPECT_EQ(noticeOf(503, "31536000").backoff, std::chrono::seconds(120)) << "the backoff is capped";
     for (const char* nonsense : { "-3", "Wed, 21 Oct 2026 07:28:00 GMT", "nan", "1e9", "soon" }) {
         EXPECT_EQ(noticeOf(503, nonsense).backoff, std::nullopt) << nonsense;
         EXPECT_NE(noticeOf(503, nonsense).unreadable, "") << nonsense;
--- a/tests/platform/deskcaller.h
+++ b/tests/platform/deskcaller.h
@@ -10,7 +10,7 @@
 
 namespace Kumquatpick {
 
-// A caller of one node that sends one request after the other, over one connection while that is open.
+// Sends requests to one node one after the other, over the same connection while that is open.
 class DeskCaller {
 public:
     DeskCaller(const Address& node, std::string path, httplib::Headers headers, Milliseconds pause)
@@ -38,7 +38,7 @@
 
     int sent() const { return m_sent; }
     int served() const { return m_served; }
-    int unanswered() const { return m_unanswered; } // Without a whole answer of any kind.
+    int unanswered() const { return m_unanswered; } // No complete answer of any status.
 
 private:
     std::atomic<bool> m_isEnding { false };
--- a/tests/platform/deskconfig.h
+++ b/tests/platform/deskconfig.h
@@ -13,7 +13,7 @@
         { "maxAttempts", 2 }, { "streamResume", true } };
 }
 
-// The operators' text for a service of models on pairs of hosts and a plain one.
+// A configuration with a service of models, whose replicas have two hosts each, and a plain service.
 inline nlohmann::json deskConfig(int version, const std::vector<std::string>& keys)
 {
     using nlohmann::json;
--- a/tests/platform/gateway_test.cpp
+++ b/tests/platform/gateway_test.cpp
@@ -59,7 +59,7 @@
             auto heads = static_cast<size_t>(modelHosts / 2);
             ASSERT_TRUE(eventually([&] { return openHeads().size() == heads; }));
             ASSERT_TRUE(plainHosts == 0 || eventually([&] { return status("/again/x") == 200; }));
-            // The node sees the last replica open a moment after the host does.
+            // The node learns that the last replica is open a moment after the host does.
             ASSERT_TRUE(modelHosts == 0 || eventually([&] { return call("/story/x").value().status == 200; }));
             for (auto& host : m_hosts)
                 host->runs = 0;
@@ -108,7 +108,7 @@
         std::atomic<int> m_calls { 0 };
     };
 
-    // What a server answers to raw bytes, until it closes the connection or the time is up.
+    // Sends raw bytes to a server and returns the first part of its answer; empty if it closes the connection.
     std::string exchangeRaw(const Address& address, std::string_view bytes)
     {
         asio::io_context io;
@@ -122,7 +122,7 @@
         return answer;
     }
 
-    // The most that arrived in any span of this length that ends after the given time.
+    // The maximum number of arrivals in any span of this length that ends after the given time.
     size_t mostArrivals(
         std::span<const StandinHost::Arrival> arrivals, Milliseconds span, std::chrono::steady_clock::time_point after)
     {
@@ -144,7 +144,7 @@
     m_node = std::make_unique<TestNode>("node-1", m_store.address());
     auto response = call("/again/x");
     ASSERT_TRUE(response);
-    EXPECT_EQ(response->status, 503) << "not 404: it does not know";
+    EXPECT_EQ(response->status, 503) << "not 404 before a configuration is loaded";
     EXPECT_TRUE(response->has_header("Retry-After"));
     httplib::Client readiness("127.0.0.1", m_node->readiness().port);
     EXPECT_EQ(readiness.Get("/readyz")->status, 503);
@@ -179,7 +179,7 @@
     EXPECT_EQ(status("/again/x", "key-2"), 200);
     publish(1, { "key-1" });
     ASSERT_TRUE(eventually([&] { return m_store.isReadToItsEnd("keyed.op"); }));
-    EXPECT_EQ(status("/again/x", "key-1"), 401) << "a configuration never goes back";
+    EXPECT_EQ(status("/again/x", "key-1"), 401) << "an older configuration is never applied";
 }
 
 TEST_F(GatewayTest, RefusesWhatItCanNotReadAndSendsNothingOn)
@@ -216,13 +216,13 @@
     auto response = call("/once/x");
     EXPECT_EQ(response->status, 502) << "503 would promise that it has not run";
     EXPECT_EQ(runs(), 1);
-    // Until a server is trusted again, calls are refused and run nowhere.
+    // Calls are refused and run nowhere until a server is considered usable again.
     EXPECT_TRUE(eventually([&] { return status("/again/x") == 502; }));
     EXPECT_GE(runs(), 2);
     EXPECT_LE(runs(), 3) << "at most two servers run one call";
 }
 
-// The streams of a replica that stands still go on at another one, without a gap or a repeat.
+// Streams of a stalled replica resume on another one without lost or repeated events.
 TEST_F(GatewayTest, ResumesStreamsOfAReplicaThatStandsStill)
 {
     startServing(4, 0);
@@ -241,7 +241,8 @@
         ASSERT_TRUE(answer);
         EXPECT_EQ(answer->body, wholeStream());
     }
-    EXPECT_TRUE(eventually([&] { return stuck->cutOff > 0; }, Milliseconds(1000))) << "its work is ended there";
+    EXPECT_TRUE(eventually([&] { return stuck->cutOff > 0; }, Milliseconds(1000)))
+        << "the gateway aborts the work there";
 }
 
 TEST_F(GatewayTest, EndsTheWorkForACallerThatLeft)
@@ -278,10 +279,10 @@
     EXPECT_TRUE(eventually([&] {
         auto answer = client.Post("/nowhere/x", headers(), "", "text/plain");
         return answer && answer->status == 404;
-    })) << "it knows the routes from its peer";
+    })) << "it gets the routes from its peer";
 }
 
-// The store serves one node and turns the other away, which then hears from the first that a host drains.
+// The store refuses the calls of one node, which then learns from the other node that a host drains.
 TEST_F(GatewayTest, LearnsOfADrainingHostWhileTheStoreTurnsItAway)
 {
     startServing(0, 2);
@@ -309,7 +310,7 @@
     EXPECT_TRUE(answers());
 }
 
-// It starts while the store turns it away: its peer has the list of hosts as well as the configuration.
+// A node that starts while the store refuses its calls gets the hosts and the configuration from its peer.
 TEST_F(GatewayTest, StartsWithTheListOfItsPeer)
 {
     startServing(0, 1);
@@ -323,7 +324,8 @@
     }));
 }
 
-// After the time in which a change must be in force, a node that heard nothing can't tell what does not exist.
+// Once a configuration change may have taken effect unseen, a node without contact to the store can't tell whether
+// a route or key exists, so it must answer 503.
 TEST_F(GatewayTest, RefusesNothingAsUnknownByAnOldConfiguration)
 {
     startServing(0, 1);
@@ -331,27 +333,28 @@
     m_store.isSilent = true;
     EXPECT_TRUE(eventually([&] { return status("/nowhere/x") == 503; }));
     EXPECT_EQ(status("/again/x", "no such key"), 503);
-    EXPECT_EQ(status("/again/x"), 200) << "what it knows it serves";
+    EXPECT_EQ(status("/again/x"), 200) << "existing paths stay available";
     m_store.isSilent = false;
     EXPECT_TRUE(eventually([&] { return status("/nowhere/x") == 404; }));
 }
 
-// Callers were served by old versions of the configuration, over two seconds after the store had accepted newer ones.
-// The store had been silent for 6 s and had served every call for 3 s since.
+// Callers were served by old versions of the configuration more than 2 s after the store had accepted newer ones.
+// The store had not answered for 6 s, and then had answered every call for 3 s.
 TEST_F(GatewayTest, HasAVersionInTimeAfterTheStoreWasSilent)
 {
     startServing(0, 1);
     publish(2, { "key-2" });
     ASSERT_TRUE(eventually([&] { return status("/again/x", "key-2") == 200; }));
     m_store.isSilent = true;
-    // The one that waited there, and the next.
+    // The read that was pending when the store stopped answering, and the next one.
     ASSERT_TRUE(eventually([&] { return m_store.lostReads("keyed.op") == 2; }));
     m_store.isSilent = false;
     publish(3, { "key-3" });
     EXPECT_TRUE(eventually([&] { return status("/again/x", "key-3") == 200; }, Milliseconds(2000)));
 }
 
-// The store is away for longer than a lease, and nobody else can have claimed it: what is lost meanwhile is replaced.
+// While the store is down, no other node can claim control. So the controller replaces lost replicas even after its
+// lease has expired.
 TEST_F(GatewayTest, ReplacesALostReplicaWhileTheStoreIsAway)
 {
     startServing(3, 0);
@@ -367,7 +370,7 @@
     auto isOther = [&](const auto& host) { return host.get() != head && host.get() != spare; };
     StandinHost* member = std::ranges::find_if(m_hosts, isOther)->get();
     m_store.isDown = true;
-    // The controller claims again each 0.6 s, so its lease of 2.6 s is over by then, whichever node it is.
+    // The controller renews its claim every 0.6 s, so its lease of 2.6 s has expired by then, whichever node it is.
     constexpr int claimsInALease = 6;
     ASSERT_TRUE(eventually([&] { return m_store.refusedAppends >= claimsInALease; }));
     int sentBefore = head->eventsSent;
@@ -380,7 +383,7 @@
     caller.join();
 }
 
-// Orders that nobody answers are given again; whichever comes second is refused, as the host has accepted one since.
+// Unanswered orders are sent again. The host refuses the second copy, as it has accepted an order in between.
 TEST_F(GatewayTest, JoinsEachHostOnceAlthoughOrdersAreCarriedOutLate)
 {
     publish(1);
@@ -408,8 +411,8 @@
     EXPECT_TRUE(eventually([&] { return !openHeads().empty() && status("/story/x") == 200; }));
 }
 
-// Other writers' entries name no host to use; the others hold, and a host whose entry was overwritten serves on once it
-// has written its own again.
+// Entries of other writers add no hosts and do not affect other entries. A host whose entry was overwritten serves
+// again once it has rewritten the entry.
 TEST_F(GatewayTest, TakesNoHostFromEntriesOfOtherWriters)
 {
     startServing(2, 1);
@@ -442,7 +445,7 @@
     EXPECT_TRUE(eventually([&] { return status("/again/x") == 200 && m_hosts[0]->runs > 0; }));
 }
 
-// A claim that was written although its answer was lost is seen when the log is read.
+// A claim that was written although its answer was lost is found by reading the log.
 TEST_F(GatewayTest, ControlsReplicasDespiteLostAnswersOfTheStore)
 {
     m_store.answersToLose = 2;
@@ -450,13 +453,13 @@
     EXPECT_EQ(openHeads().size(), 1u);
 }
 
-// A server that named a rate got as many requests as before, from each node.
+// Guards against ignored limits: a server that announced one got as many requests as before, from each node.
 TEST_F(GatewayTest, KeepsTheRateThatAServerNamesOverAllNodes)
 {
     constexpr double perSecond = 1.5;
     constexpr Milliseconds span { 4000 };
     constexpr Milliseconds timeToLearn { 3000 };
-    constexpr size_t allowed = 14; // One and a half times the rate over that span, and five.
+    constexpr size_t allowed = 14; // 1.5 times the rate over that span, plus five.
     startServing(0, 3);
     TestNode second("node-2", m_store.address(), m_node->peers().toString());
     TestNode third("node-3", m_store.address(), m_node->peers().toString());
@@ -469,21 +472,22 @@
     limited.namedLimit = perSecond;
     std::this_thread::sleep_for(timeToLearn + span + span);
     EXPECT_LE(mostArrivals(limited.arrivals(), span, namedAt + timeToLearn), allowed);
-    EXPECT_GE(mostArrivals(limited.arrivals(), span, namedAt + timeToLearn + span), 3u) << "it takes some all the same";
+    EXPECT_GE(mostArrivals(limited.arrivals(), span, namedAt + timeToLearn + span), 3u)
+        << "not all of its traffic stops";
 
     limited.namedLimit = -1;
     int runsBefore = limited.runs;
-    EXPECT_TRUE(eventually([&] { return limited.runs > runsBefore + 40; })) << "it names none any more";
+    EXPECT_TRUE(eventually([&] { return limited.runs > runsBefore + 40; })) << "once it names none, traffic returns";
     int sent = 0;
     int served = 0;
     for (const DeskCaller& each : callers) {
         sent += each.sent();
         served += each.served();
     }
-    EXPECT_GE(served + 10, sent) << "the others serve what it does not take";
+    EXPECT_GE(served + 10, sent) << "the remaining servers absorb the rest";
 }
 
-// A server that refused and said when to retry got the next calls of the same node all the same.
+// Guards against ignored backoffs: a server that refused with Retry-After got the next calls of that node too.
 TEST_F(GatewayTest, BacksOffForAsLongAsAServerAskedFor)
 {
     constexpr auto backoff = 5s;
@@ -507,7 +511,8 @@
     EXPECT_TRUE(eventually([&] { return tired.runs > 10; })) << "its backoff is over";
 }
 
-// A server that said only in its answers that it drains got calls until the store's list told the same.
+// Guards against ignored drain notices: a server that announced draining only in its answers got calls until the
+// store's list showed it too.
 TEST_F(GatewayTest, SendsNothingMoreToAServerThatSaysItDrains)
 {
     constexpr auto drain = 2s;
@@ -520,7 +525,7 @@
     ASSERT_TRUE(eventually([&] { return draining.runs > runsBefore; }));
     std::this_thread::sleep_for(drain);
     runsBefore = draining.runs;
-    draining.announce(); // Its entry does not say it.
+    draining.announce(); // Its entry does not show that it drains.
     std::this_thread::sleep_for(drain);
     EXPECT_EQ(draining.runs, runsBefore);
     EXPECT_GE(caller.served() + 2, caller.sent()) << "the other one serves its calls";
--- a/tests/platform/gatewaysoak_test.cpp
+++ b/tests/platform/gatewaysoak_test.cpp
@@ -23,8 +23,9 @@
         return text ? std::atoi(text) : usual;
     }
 
-    // Nodes, servers of both kinds and callers that use their open connections until their node is gone, while servers
-    // say things of themselves, leave and come, nodes stop and start, and configurations change, all drawn from a seed.
+    // Runs nodes, servers of both kinds, and callers that use their open connections until their node is gone. Events
+    // are drawn from a seed: servers announce limits, backoffs and draining, new servers start, nodes stop and start,
+    // and configurations change.
     class GatewaySoak {
     public:
         explicit GatewaySoak(uint64_t seed)
@@ -65,7 +66,7 @@
             int sent = 0;
             int served = 0;
         };
-        // Of the plain service, while two of its servers or more had nothing to say of themselves for some time.
+        // Calls to the plain service while at least two of its servers had announced nothing for some time.
         Calls plainCallsInCalm() const { return m_plainCalls; }
         int unanswered() const { return m_unanswered; }
         const std::string& events() const { return m_events; }
@@ -91,7 +92,7 @@
 
         struct Node {
             std::unique_ptr<TestNode> process;
-            std::list<DeskCaller> callers; // The last one calls models.
+            std::list<DeskCaller> callers; // The last one calls the service of models.
             bool isStopping = false;
             std::chrono::steady_clock::time_point started = std::chrono::steady_clock::now();
         };
@@ -113,7 +114,7 @@
             return count;
         }
 
-        // By nodes that started before this and don't stop.
+        // Calls to nodes that started before this time and are not stopping.
         Calls plainCalls(std::chrono::steady_clock::time_point startedBefore) const
         {
             Calls calls;
@@ -173,7 +174,7 @@
             case 5:
                 return hasNoNeed && host.id().starts_with("plain") ? drain(host) : void();
             case 6:
-                note("a configuration");
+                note("a configuration is published");
                 return publish();
             default:
                 return stopOne();
@@ -183,7 +184,7 @@
         void nameLimit(StandinHost& host)
         {
             host.namedLimit = 0.5 + below(60) / 10.0;
-            note(fmt::format("{} names {} a second", host.id(), host.namedLimit.load()));
+            note(fmt::format("{} names a rate of {}/s", host.id(), host.namedLimit.load()));
         }
 
         void askForBackoff(StandinHost& host)
@@ -197,7 +198,7 @@
         {
             host.namedLimit = -1;
             host.isFull = false;
-            note(host.id() + " is well");
+            note(host.id() + " serves normally");
         }
 
         void drain(StandinHost& host)
@@ -207,7 +208,7 @@
             note(host.id() + " drains");
         }
 
-        // One at a time; its callers go on until it is gone.
+        // Stops one node at a time; its callers continue until it has ended.
         void stopOne()
         {
             bool anyStops = std::ranges::any_of(m_nodes, [](const Node& node) { return node.isStopping; });
@@ -252,13 +253,13 @@
         Calls m_plainCalls;
         std::map<const StandinHost*, std::chrono::steady_clock::time_point> m_calmFrom;
         int m_unanswered = 0;
-        std::string m_events; // A line each.
+        std::string m_events; // One line per event.
         std::chrono::steady_clock::time_point m_begun = std::chrono::steady_clock::now();
     };
 
 }
 
-// Limits, backoffs and drains are kept, and every call is answered, while all of them and restarts overlap.
+// Nodes respect limits, backoffs and draining and answer every call, while all of these and restarts overlap.
 TEST(GatewaySoak, DoesAsServersSayOfThemselves)
 {
     int seed = fromEnvironment("KUMQUATPICK_SOAK_SEED", 1);
--- a/tests/platform/noticerules.cpp
+++ b/tests/platform/noticerules.cpp
@@ -65,7 +65,7 @@
         }));
         if (count > mostWithin)
             broken.push_back(
-                fmt::format("{} requests of {} in a backoff of {} s", count, asking.from, asking.backoffAsked));
+                fmt::format("{} requests by {} in a backoff of {} s", count, asking.from, asking.backoffAsked));
     }
     return broken;
 }
@@ -79,7 +79,8 @@
             continue;
         Time told = toldAt.try_emplace(nodeOf(arrival), arrival.at).first->second;
         if (arrival.at > told + drain)
-            broken.push_back(fmt::format("a request of {} after it was told that the server drains", arrival.from));
+            broken.push_back(
+                fmt::format("a request by {} over 2 s after the server announced its drain", arrival.from));
     }
     return broken;
 }
--- a/tests/platform/noticerules.h
+++ b/tests/platform/noticerules.h
@@ -8,14 +8,14 @@
 
 namespace Kumquatpick {
 
-// What a server's record shows of nodes that did not do as it said of itself; a line each.
+// Checks of a server's recorded arrivals for nodes that ignored its notices. Each returns one line per violation.
 
-// More than one and a half times the limit that it named, and five, in some four seconds, from three seconds after it
-// first named it until it named none, from nodes that had been told half a second before.
+// More than 1.5 times the announced limit plus five requests in any four seconds. Checked from three seconds after the
+// limit was first announced until it was lifted; counts only nodes that were told of it at least 0.5 s before.
 std::vector<std::string> overLimits(std::span<const StandinHost::Arrival>);
-// More than two requests from a node between half a second after it was asked for a backoff and the backoff's end.
+// More than two requests from one node between 0.5 s after it was asked to back off and the end of the backoff.
 std::vector<std::string> withinBackoffs(std::span<const StandinHost::Arrival>);
-// Requests from a node later than two seconds after it was told that the server drains.
+// Requests from a node more than two seconds after it was told that the server drains.
 std::vector<std::string> afterDraining(std::span<const StandinHost::Arrival>);
 
 } // namespace Kumquatpick
--- a/tests/platform/standin.cpp
+++ b/tests/platform/standin.cpp
@@ -13,8 +13,8 @@
     using namespace std::chrono_literals;
 
     constexpr time_t idleSeconds = 1;
-    constexpr auto lostCallLasts = 5s; // Longer than the gateway waits for any answer of the store.
-    constexpr size_t storeThreads = 64; // Lost calls hold theirs.
+    constexpr auto lostCallLasts = 5s; // Longer than the gateway waits for an answer of the store.
+    constexpr size_t storeThreads = 64; // Each unanswered call occupies a thread.
     constexpr auto orderDelay = 1500ms; // Longer than the gateway waits for an order's answer.
 
     void writeJson(httplib::Response& response, int status, const json& body)
@@ -49,7 +49,7 @@
 StandinServer::StandinServer()
 {
     m_http.new_task_queue = [] { return new httplib::ThreadPool(24); };
-    // A server that ends waits this long for each connection that a node still holds.
+    // When it stops, the server waits this long for each connection that a node keeps open.
     m_http.set_keep_alive_timeout(idleSeconds);
     m_http.set_read_timeout(idleSeconds, 0);
 }
@@ -370,7 +370,7 @@
     if (!m_options.isPlain)
         return stream(request, response);
     if (losesAnswers) {
-        // Ends the connection in the middle of the answer.
+        // Closes the connection in the middle of the answer.
         response.set_content_provider(1000, "text/plain", [](size_t, size_t, httplib::DataSink&) { return false; });
         return;
     }
--- a/tests/platform/standin.h
+++ b/tests/platform/standin.h
@@ -16,7 +16,7 @@
 
 namespace Kumquatpick {
 
-// A server of the platform on a port of this machine, on a thread of its own.
+// Base of the fake servers: an HTTP server on a local port, with its own threads.
 class StandinServer {
 public:
     StandinServer();
@@ -25,7 +25,7 @@
     StandinServer& operator=(const StandinServer&) = delete;
 
     Address address() const { return { "127.0.0.1", static_cast<uint16_t>(m_port) }; }
-    // Ends it at once: connections to it are refused from then on.
+    // Stops at once; later connections are refused.
     void stop();
 
 protected:
@@ -38,26 +38,26 @@
     std::thread m_thread;
 };
 
-// The store: logs with conditions, keyed logs, and outages.
+// A fake store with conditional appends, keyed logs and simulated outages.
 class StandinStore : public StandinServer {
 public:
     StandinStore();
     ~StandinStore() override;
 
     void put(const std::string& topic, const std::string& key, const std::string& value);
-    // Whether a reader has asked for what comes after the topic's last record, so it has taken all of them.
+    // Whether a reader has requested the offset after the topic's last record, and so has received all records.
     bool isReadToItsEnd(const std::string& topic);
-    // Takes calls and never answers them, nor those that wait at it when it falls silent.
+    // While set, calls get no answer, including those that are pending when it is set.
     std::atomic<bool> isSilent { false };
-    // Reads of this topic that it lost so.
+    // Reads of this topic that got no answer for that reason.
     int lostReads(const std::string& topic);
-    // Does nothing and says so.
+    // While set, every call is answered with 503.
     std::atomic<bool> isDown { false };
-    std::atomic<int> refusedAppends { 0 }; // While it was down.
-    // Appends, but answers only after the caller has given up.
+    std::atomic<int> refusedAppends { 0 }; // Appends refused while isDown was set.
+    // Number of appends to carry out but answer only after the caller has timed out.
     std::atomic<int> answersToLose { 0 };
 
-    // Has another server give the same answers.
+    // Registers the store's handlers at another server.
     void serveAt(httplib::Server&);
 
 private:
@@ -76,7 +76,7 @@
     std::map<std::string, size_t> m_readFrom; // The latest offset asked for, by topic.
 };
 
-// Another way to the store, for nodes that it may turn away while it serves the others.
+// A second address of the store that can refuse calls while the store itself answers.
 class StandinDoor : public StandinServer {
 public:
     explicit StandinDoor(StandinStore&);
@@ -85,7 +85,7 @@
     std::atomic<bool> turnsAway { false };
 };
 
-// A backend server of either kind: a model host that obeys orders and streams events, or a plain one.
+// A fake backend server: either a model host that carries out orders and streams events, or a plain one.
 class StandinHost : public StandinServer {
 public:
     struct Options {
@@ -98,38 +98,38 @@
     StandinHost(StandinStore&, Options);
     ~StandinHost() override;
 
-    // Tells the store its state.
+    // Writes its entry to the store.
     void announce();
     std::string id() const { return m_options.id; }
-    // Knows nothing of before, under its id; its staged copy stays.
+    // Simulates a restart under the same id; only the staged model is kept.
     void startAgain();
-    // Its entry goes, as after some heartbeats without a word; announce() brings it back.
+    // Deletes its entry, as happens after missed heartbeats; announce() restores it.
     void lapse();
     bool isOpenHead();
     bool isMember();
-    std::atomic<int> runs { 0 }; // Requests that it ran.
+    std::atomic<int> runs { 0 }; // Requests that were executed.
     std::atomic<int> eventsSent { 0 };
-    std::atomic<int> cutOff { 0 }; // Streams whose reader left before the end.
-    std::atomic<bool> isFull { false }; // Refuses requests, and says that it does not run them.
-    std::atomic<double> namedLimit { -1 }; // Requests a second that its answers name; below 0: none.
-    // A request that reached it, also one that it refused, and what it said of itself in the answer.
+    std::atomic<int> cutOff { 0 }; // Streams whose reader disconnected before the end.
+    std::atomic<bool> isFull { false }; // Refuses requests and marks them as not executed.
+    std::atomic<double> namedLimit { -1 }; // Requests per second, announced in answers; below 0: none.
+    // A request that was executed or refused, and the notices sent in the answer.
     struct Arrival {
         std::chrono::steady_clock::time_point at;
-        std::string from; // The call's id up to its last dash.
+        std::string from; // The attempt id up to its last dash.
         double namedLimit = -1;
         int backoffAsked = 0;
         bool saidDraining = false;
     };
     std::vector<Arrival> arrivals();
-    std::atomic<bool> saysDraining { false }; // In its answers, not to the store.
-    std::atomic<int> backoffAsked { 0 }; // Seconds, in its refusals; 0: none.
-    std::atomic<bool> losesAnswers { false }; // Runs a request and closes the connection.
-    std::atomic<bool> standsStill { false }; // Streams stop in the middle.
+    std::atomic<bool> saysDraining { false }; // Announced in answers, but not in the store.
+    std::atomic<int> backoffAsked { 0 }; // Seconds, sent as Retry-After in refusals; 0: none.
+    std::atomic<bool> losesAnswers { false }; // Closes the connection in the middle of an answer.
+    std::atomic<bool> standsStill { false }; // Streams stay open without further events.
     std::atomic<bool> isDraining { false };
-    std::atomic<bool> isLost { false }; // Tells nothing of itself and obeys nothing.
-    std::atomic<int> ordersToDelay { 0 }; // Carried out after their sender has given them up.
-    std::atomic<int> delayedOrders { 0 }; // That were carried out, or refused, since.
-    std::atomic<int> joins { 0 }; // That it began.
+    std::atomic<bool> isLost { false }; // Answers every request with 500.
+    std::atomic<int> ordersToDelay { 0 }; // Number of orders to carry out only after the sender has timed out.
+    std::atomic<int> delayedOrders { 0 }; // Delayed orders that were carried out or refused.
+    std::atomic<int> joins { 0 }; // Join orders that were carried out.
 
     static constexpr int eventsPerStream = 12;
 
--- a/tests/platform/testnode.h
+++ b/tests/platform/testnode.h
@@ -10,7 +10,7 @@
 
 namespace Kumquatpick {
 
-// A gateway node on ports of this machine, with its event loop on a thread of its own.
+// A gateway node on local ports, with its event loop on its own thread.
 class TestNode {
 public:
     TestNode(std::string name, Address store, std::string seeds = {});
@@ -18,7 +18,7 @@
     TestNode(const TestNode&) = delete;
     TestNode& operator=(const TestNode&) = delete;
 
-    // A planned stop, as by a signal.
+    // Stops the node gracefully, as SIGTERM does.
     void stop();
     bool hasEnded() const { return m_hasEnded; }
     Address callers() const { return m_settings.callers; }
@@ -27,10 +27,10 @@
     Address peers() const { return m_settings.peers; }
 
 private:
-    GatewaySettings& m_settings; // Lives as long as the gateway.
+    GatewaySettings& m_settings; // Never destroyed, as the gateway refers to it.
     PlatformCodec& m_codec;
     asio::io_context m_io;
-    Gateway* m_gateway; // Never destroyed: what still waits in the event loop refers to it until the loop is gone.
+    Gateway* m_gateway; // Never destroyed, as suspended coroutines refer to it until the event loop is gone.
     std::atomic<bool> m_hasEnded { false };
     std::thread m_thread;
 };
