--- a/src/base/base64.cpp
+++ b/src/base/base64.cpp
@@ -29,14 +29,14 @@
     std::string text;
     text.reserve((bytes.size() + bytesPerGroup - 1) / bytesPerGroup * charactersPerGroup);
     for (size_t at = 0; at < bytes.size(); at += bytesPerGroup) {
-        size_t present = std::min(bytesPerGroup, bytes.size() - at);
+        size_t byteCount = std::min(bytesPerGroup, bytes.size() - at);
         uint32_t group = bytes[at] << 16;
-        group |= present > 1 ? bytes[at + 1] << 8 : 0;
-        group |= present > 2 ? bytes[at + 2] : 0;
+        group |= byteCount > 1 ? bytes[at + 1] << 8 : 0;
+        group |= byteCount > 2 ? bytes[at + 2] : 0;
         text += alphabet[group >> 18];
         text += alphabet[(group >> 12) & 63];
-        text += present > 1 ? alphabet[(group >> 6) & 63] : '=';
-        text += present > 2 ? alphabet[group & 63] : '=';
+        text += byteCount > 1 ? alphabet[(group >> 6) & 63] : '=';
+        text += byteCount > 2 ? alphabet[group & 63] : '=';
     }
     return text;
 }
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -28,7 +28,7 @@
             notes.push_back(range);
         if (setting.required)
             notes.emplace_back("required");
-        else if (std::string shown = shownDefault(setting); !shown.empty())
+        else if (std::string shown = defaultText(setting); !shown.empty())
             notes.push_back("default " + shown);
         if (isList(setting))
             notes.emplace_back("may be repeated");
@@ -41,15 +41,18 @@
     }
 
     // Collects the arguments that match no flag, so that every stray one is reported and not just the first.
-    class Leftovers : public TCLAP::Arg {
+    class UnmatchedArguments : public TCLAP::Arg {
     public:
-        Leftovers()
+        UnmatchedArguments()
             : TCLAP::Arg("", "leftovers", "", false, true)
         {
         }
 
         // Last in the list, as TCLAP offers an argument to each entry in order.
-        void addToList(std::list<TCLAP::Arg*>& list) const override { list.push_back(const_cast<Leftovers*>(this)); }
+        void addToList(std::list<TCLAP::Arg*>& list) const override
+        {
+            list.push_back(const_cast<UnmatchedArguments*>(this));
+        }
 
         bool processArg(int* index, std::vector<std::string>& arguments) override
         {
@@ -71,10 +74,10 @@
         return {};
     if (!variable.empty())
         return std::string(variable);
-    std::string made(variablePrefix);
+    std::string derived(variablePrefix);
     for (char c : flag)
-        made += c == '-' ? '_' : static_cast<char>(c >= 'a' && c <= 'z' ? c - 'a' + 'A' : c);
-    return made;
+        derived += c == '-' ? '_' : static_cast<char>(c >= 'a' && c <= 'z' ? c - 'a' + 'A' : c);
+    return derived;
 }
 
 std::optional<std::string> processEnvironment(const std::string& variable)
@@ -90,7 +93,7 @@
         bool help = false;
         bool version = false;
         std::map<std::string_view, std::vector<std::string>> values;
-        std::vector<std::string> leftovers;
+        std::vector<std::string> unmatched;
         std::vector<std::string> faults;
     };
 
@@ -101,11 +104,11 @@
         std::vector<std::string> split { "program" };
         for (const std::string& argument : arguments) {
             size_t equals = argument.find('=');
-            auto names = [&](const Setting& setting) {
+            auto hasFlag = [&](const Setting& setting) {
                 return argument.substr(0, equals) == fmt::format("--{}", setting.flag);
             };
-            auto known = [&](const SettingGroup& group) { return std::ranges::any_of(group.settings, names); };
-            if (equals == std::string::npos || !std::ranges::any_of(groups, known)) {
+            auto isInGroup = [&](const SettingGroup& group) { return std::ranges::any_of(group.settings, hasFlag); };
+            if (equals == std::string::npos || !std::ranges::any_of(groups, isInGroup)) {
                 split.push_back(argument);
                 continue;
             }
@@ -116,16 +119,16 @@
     }
 
     // Removes "--", after which TCLAP would recognize no flags for the rest of the process.
-    void takeIgnoreRest(std::vector<std::string>& arguments, std::vector<std::string>& leftovers)
+    void moveIgnoreRest(std::vector<std::string>& arguments, std::vector<std::string>& unmatched)
     {
         auto isIgnoreRest = [](const std::string& argument) { return argument == "--" || argument == "--ignore_rest"; };
-        std::ranges::copy_if(arguments, std::back_inserter(leftovers), isIgnoreRest);
+        std::ranges::copy_if(arguments, std::back_inserter(unmatched), isIgnoreRest);
         std::erase_if(arguments, isIgnoreRest);
     }
 
     // TCLAP stops at its first error. As all flags are lists and stray arguments are collected, the only error left
     // to TCLAP is a last flag without its value. All other faults are found by our own checks.
-    GivenArguments takeApart(std::span<const std::string> arguments, const std::vector<SettingGroup>& groups)
+    GivenArguments parseArguments(std::span<const std::string> arguments, const std::vector<SettingGroup>& groups)
     {
         GivenArguments given;
         TCLAP::CmdLine line("", ' ', "", false);
@@ -144,10 +147,10 @@
                         = std::make_unique<TCLAP::MultiArg<std::string>>("", flag, "", false, "", line);
             }
         }
-        Leftovers leftovers;
-        line.add(leftovers);
+        UnmatchedArguments unmatched;
+        line.add(unmatched);
         std::vector<std::string> split = splitAssignments(arguments, groups);
-        takeIgnoreRest(split, given.leftovers);
+        moveIgnoreRest(split, given.unmatched);
         try {
             line.parse(split);
         } catch (const TCLAP::ArgException&) {
@@ -160,7 +163,7 @@
         for (const auto& [flag, argument] : switches)
             if (argument->getValue() > 0)
                 given.values[flag] = { "true" };
-        given.leftovers.insert(given.leftovers.end(), leftovers.values().begin(), leftovers.values().end());
+        given.unmatched.insert(given.unmatched.end(), unmatched.values().begin(), unmatched.values().end());
         return given;
     }
 
@@ -202,16 +205,16 @@
         }
     }
 
-    void readPositionals(const std::vector<Positional>& positionals, const std::vector<std::string>& leftovers,
+    void readPositionals(const std::vector<Positional>& positionals, const std::vector<std::string>& unmatched,
         std::vector<std::string>& faults)
     {
         auto next = positionals.begin();
-        for (const std::string& leftover : leftovers) {
-            bool isFlag = leftover.starts_with('-') && leftover.size() > 1;
-            if (isFlag || leftover.empty() || next == positionals.end())
-                faults.push_back(fmt::format("unknown argument '{}'", leftover));
+        for (const std::string& argument : unmatched) {
+            bool isFlag = argument.starts_with('-') && argument.size() > 1;
+            if (isFlag || argument.empty() || next == positionals.end())
+                faults.push_back(fmt::format("unknown argument '{}'", argument));
             else
-                *(next++)->into = leftover;
+                *(next++)->into = argument;
         }
         for (; next != positionals.end(); ++next)
             faults.push_back(fmt::format("{} is missing: {}", next->name, next->help));
@@ -246,13 +249,13 @@
 std::optional<SettingsExit> SettingsParser::parse(
     std::span<const std::string> arguments, const Environment& environment)
 {
-    GivenArguments given = takeApart(arguments, m_groups);
+    GivenArguments given = parseArguments(arguments, m_groups);
     if (given.help)
         return SettingsExit { 0, m_help };
     if (given.version)
         return SettingsExit { 0, fmt::format("{} {}\n", m_program.name, KUMQUATPICK_VERSION) };
     std::vector<std::string> found = std::move(given.faults);
-    readPositionals(m_program.positionals, given.leftovers, found);
+    readPositionals(m_program.positionals, given.unmatched, found);
     readAll(m_groups, given, environment, found);
     return found.empty() ? std::nullopt : std::optional(faults(found));
 }
--- a/src/base/settingvalue.cpp
+++ b/src/base/settingvalue.cpp
@@ -16,18 +16,19 @@
     {
         uint64_t value = 0;
         auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), value);
-        bool whole = code == std::errc() && end == text.data() + text.size() && !text.empty();
-        return whole ? std::optional(value) : std::nullopt;
+        bool isWholeNumber = code == std::errc() && end == text.data() + text.size() && !text.empty();
+        return isWholeNumber ? std::optional(value) : std::nullopt;
     }
 
-    struct Reader {
+    struct ValueReader {
         const Setting& setting;
         std::string_view text;
 
         bool operator()(std::string* into) const
         {
-            bool chosen = setting.choices.empty() || std::ranges::find(setting.choices, text) != setting.choices.end();
-            if (!chosen || (setting.accepts && !setting.accepts(text)))
+            bool isChoice
+                = setting.choices.empty() || std::ranges::find(setting.choices, text) != setting.choices.end();
+            if (!isChoice || (setting.accepts && !setting.accepts(text)))
                 return false;
             *into = text;
             return true;
@@ -107,7 +108,7 @@
         std::string_view operator()(const LogLevel*) const { return "LEVEL"; }
     };
 
-    struct Default {
+    struct DefaultText {
         const Setting& setting;
 
         std::string operator()(const std::string* value) const { return *value; }
@@ -128,15 +129,15 @@
         }
     };
 
-    struct Expected {
+    struct ExpectedText {
         const Setting& setting;
 
         std::string number(std::string_view unit) const
         {
-            std::string ofUnit = unit.empty() ? "" : fmt::format(" of {}", unit);
+            std::string unitSuffix = unit.empty() ? "" : fmt::format(" of {}", unit);
             if (setting.lowest == 0 && setting.highest == Setting().highest)
-                return fmt::format("a whole number{}", ofUnit);
-            return fmt::format("a whole number{} from {} to {}", ofUnit, setting.lowest, setting.highest);
+                return fmt::format("a whole number{}", unitSuffix);
+            return fmt::format("a whole number{} from {} to {}", unitSuffix, setting.lowest, setting.highest);
         }
 
         std::string operator()(const std::string*) const
@@ -163,12 +164,12 @@
 
 bool readSettingValue(const Setting& setting, std::string_view text)
 {
-    return std::visit(Reader { setting, text }, setting.into);
+    return std::visit(ValueReader { setting, text }, setting.into);
 }
 
-std::string expectedValue(const Setting& setting) { return std::visit(Expected { setting }, setting.into); }
+std::string expectedValue(const Setting& setting) { return std::visit(ExpectedText { setting }, setting.into); }
 
-std::string shownDefault(const Setting& setting) { return std::visit(Default { setting }, setting.into); }
+std::string defaultText(const Setting& setting) { return std::visit(DefaultText { setting }, setting.into); }
 
 std::string_view valuePlaceholder(const Setting& setting) { return std::visit(Placeholder {}, setting.into); }
 
--- a/src/base/settingvalue.h
+++ b/src/base/settingvalue.h
@@ -13,7 +13,7 @@
 // Describes a valid value, to be printed after "is not".
 std::string expectedValue(const Setting&);
 // The target's current value with its unit; empty if there is no default to show.
-std::string shownDefault(const Setting&);
+std::string defaultText(const Setting&);
 // The value's placeholder in the usage line; empty for a switch.
 std::string_view valuePlaceholder(const Setting&);
 
--- a/tests/base/address_test.cpp
+++ b/tests/base/address_test.cpp
@@ -4,13 +4,13 @@
 
 namespace Kumquatpick {
 
-TEST(Address, ReadsBothFamilies)
+TEST(Address, ParsesIpv4AndIpv6)
 {
     EXPECT_EQ(std::get<0>(settle([] { return Address::parse("127.0.0.1:7100"); })), (Address { "127.0.0.1", 7100 }));
     EXPECT_EQ(std::get<0>(settle([] { return Address::parse("[::1]:9"); })).toString(), "[::1]:9");
 }
 
-TEST(Address, RefusesNamesAndMissingPorts)
+TEST(Address, RejectsHostNamesAndInvalidPorts)
 {
     for (auto text : { "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:8x", ":80" }) {
         auto settled = settle([&] { return Address::parse(text); });
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -23,7 +23,7 @@
         "kumquatpick_streams 7.5\n");
 }
 
-TEST(Metrics, HistogramIsCumulativeAndKeepsWhatLiesOutsideItsEdges)
+TEST(Metrics, HistogramIsCumulativeAndCountsValuesOutsideItsEdges)
 {
     Metrics metrics;
     metrics.observe("wait_seconds{team=\"a\"}", 1us);
@@ -38,7 +38,7 @@
     EXPECT_NE(text.find("_count{team=\"a\"} 3\n"), std::string::npos) << text;
 }
 
-RC_GTEST_PROP(Metrics, QuantileIsWithinOneBucketOfTheTruth, ())
+RC_GTEST_PROP(Metrics, QuantileIsWithinOneBucketOfTheExactValue, ())
 {
     auto micros = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(100, 90'000'000)));
     Metrics metrics;
--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -57,7 +57,7 @@
 
 }
 
-TEST(Settings, FlagsGoBeforeVariablesAndVariablesBeforeDefaults)
+TEST(Settings, FlagsOverrideVariablesAndVariablesOverrideDefaults)
 {
     Values values;
     auto exit = parse(values,
@@ -75,7 +75,7 @@
     EXPECT_EQ(values.file, "f");
 }
 
-TEST(Settings, NamesEveryFaultAtOnce)
+TEST(Settings, ReportsEveryFaultAtOnce)
 {
     Values values;
     auto exit = parse(values,
@@ -101,7 +101,7 @@
     EXPECT_TRUE(values.json);
 }
 
-TEST(Settings, HelpAndVersionGoBeforeFaults)
+TEST(Settings, HelpAndVersionTakePrecedenceOverFaults)
 {
     Values values;
     auto help = parse(values, { "--colour", "blue", "-h" });
@@ -117,7 +117,7 @@
 }
 
 // A quoted shell variable that is unset gives an empty argument.
-TEST(Settings, AnEmptyArgumentIsNoFile)
+TEST(Settings, RejectsAnEmptyPositionalArgument)
 {
     Values values;
     auto exit = parse(values, { "--listen=127.0.0.1:1", "" });
@@ -126,7 +126,7 @@
 }
 
 // Any arguments give either usable values or an exit; nothing is thrown and no stray argument is accepted.
-RC_GTEST_PROP(SettingsProperty, AnyArgumentsGetAVerdict, ())
+RC_GTEST_PROP(SettingsProperty, AnyArgumentsGiveValuesOrAnExit, ())
 {
     const std::vector<std::string> pieces { "", "-", "--", "-h", "-hx", "-xh", "--help", "--version", "--json",
         "--json=1", "--json=true", "--colour", "--colour=", "--colour=green", "red", "--listen=127.0.0.1:1", "--node",
--- a/tests/base/timer_test.cpp
+++ b/tests/base/timer_test.cpp
@@ -7,7 +7,7 @@
 
 // A sanitizer run found a use after free: the timer thread waited until the due time of an entry by reference
 // and read it after another thread had cancelled the entry.
-TEST(Timer, ASubscriptionMayBeCancelledWhileItIsWaitedFor)
+TEST(Timer, CancelsASubscriptionWhileTheThreadWaitsForIt)
 {
     TimerService timers;
     for (int i = 0; i < 1'000; ++i) {
--- a/tests/base/trace_test.cpp
+++ b/tests/base/trace_test.cpp
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-RC_GTEST_PROP(Trace, HeaderRoundTripsAndChildKeepsTheTrace, (uint64_t seed))
+RC_GTEST_PROP(Trace, HeaderRoundTripsAndChildKeepsTheTraceId, (uint64_t seed))
 {
     Random random(seed);
     TraceContext context = TraceContext::fresh(random);
@@ -22,7 +22,7 @@
     RC_ASSERT(child.traceId == context.traceId && child.spanId != context.spanId);
 }
 
-TEST(Trace, RefusesHeadersOutsideTheStandard)
+TEST(Trace, RejectsInvalidHeaders)
 {
     const std::string good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     ASSERT_TRUE(TraceContext::parse(good));
@@ -35,7 +35,7 @@
         EXPECT_FALSE(TraceContext::parse(bad)) << bad;
 }
 
-TEST(Trace, WritesOneExportRequestALine)
+TEST(Trace, WritesOneExportRequestPerLine)
 {
     std::string path = testing::TempDir() + "kumquatpick_trace_" + std::to_string(::getpid());
     Random random(1);
--- a/tests/platform/deskcaller.h
+++ b/tests/platform/callerthread.h
@@ -11,9 +11,9 @@
 namespace Kumquatpick {
 
 // Sends requests to one node one after the other, over the same connection while that is open.
-class DeskCaller {
+class CallerThread {
 public:
-    DeskCaller(const Address& node, std::string path, httplib::Headers headers, Milliseconds pause)
+    CallerThread(const Address& node, std::string path, httplib::Headers headers, Milliseconds pause)
         : m_thread([this, node, path = std::move(path), headers = std::move(headers), pause]() mutable {
             httplib::Client client("127.0.0.1", node.port);
             client.set_keep_alive(true);
@@ -28,13 +28,13 @@
         })
     {
     }
-    ~DeskCaller()
+    ~CallerThread()
     {
         m_isEnding = true;
         m_thread.join();
     }
-    DeskCaller(const DeskCaller&) = delete;
-    DeskCaller& operator=(const DeskCaller&) = delete;
+    CallerThread(const CallerThread&) = delete;
+    CallerThread& operator=(const CallerThread&) = delete;
 
     int sent() const { return m_sent; }
     int served() const { return m_served; }
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -56,12 +56,12 @@
     bool isHost(const json& entry) { return std::holds_alternative<Host>(codec.host("i-1", entry.dump())); }
 
     // A value of another JSON type than the given one.
-    json ofAnotherType(const json& value, unsigned draw)
+    json valueOfAnotherType(const json& value, unsigned draw)
     {
         const std::vector<json> values { json::array({ 1 }), json { { "a", 1 } }, "text", -3, 2.5, true, nullptr };
         const json& other = values[draw % values.size()];
-        bool isAlike = other.type() == value.type() || (other.is_number() && value.is_number() && other == 2.5);
-        return isAlike ? json(false) : other;
+        bool isSameType = other.type() == value.type() || (other.is_number() && value.is_number() && other == 2.5);
+        return isSameType ? json(false) : other;
     }
 
 }
@@ -84,7 +84,7 @@
     EXPECT_EQ(config.limits.bodyBytes, 2000u);
 }
 
-RC_GTEST_PROP(PlatformCodec, NeverThrowsOnWhatTheStoreHolds, (const std::string& text))
+RC_GTEST_PROP(PlatformCodec, NeverThrowsOnArbitraryInput, (const std::string& text))
 {
     codec.config(text);
     codec.host("id", text);
@@ -98,7 +98,7 @@
 }
 
 // In the host list "sequence" counts heartbeats, in a report the accepted orders.
-TEST(PlatformCodec, TellsTheTwoSequencesApart)
+TEST(PlatformCodec, DistinguishesTheTwoSequenceFields)
 {
     auto listed = std::get<Host>(codec.host("i-1", R"({"service":"m","address":"10.0.0.9:80","zone":"z","capacity":17,
         "state":"draining","sequence":40,"version":"v1","warmupLeftMs":0,"faultDomain":"d","preloaded":["big"],"modelList":[{"name":"big"}],
@@ -113,7 +113,7 @@
 }
 
 // A host that restarts under its name gets another id here; messages carry only the name.
-TEST(PlatformCodec, TellsTheLivesOfAHostApart)
+TEST(PlatformCodec, DistinguishesIncarnationsOfAHost)
 {
     Host host = std::get<Host>(codec.host("i-1", listEntry().dump()));
     EXPECT_EQ(host.id, "i-1@1785639518025");
@@ -130,7 +130,7 @@
     EXPECT_EQ(std::get<Error>(later).code, ErrorCode::NotFound);
 }
 
-TEST(PlatformCodec, TakesNoHostFromAnotherWritersEntry)
+TEST(PlatformCodec, RejectsInvalidHostEntries)
 {
     ASSERT_TRUE(isHost(listEntry()));
     for (const char* field :
@@ -155,30 +155,30 @@
     EXPECT_FALSE(std::holds_alternative<Host>(codec.host("i-1", "\xff\xfe\x01")));
 }
 
-RC_GTEST_PROP(PlatformCodec, TakesNoHostFromAnEntryWithAFieldOfAnotherType, (unsigned field, unsigned type))
+RC_GTEST_PROP(PlatformCodec, RejectsHostEntriesWithAFieldOfAnotherType, (unsigned field, unsigned type))
 {
     json entry = listEntry();
     auto place = std::next(entry.begin(), static_cast<std::ptrdiff_t>(field % entry.size()));
-    json other = ofAnotherType(place.value(), type);
-    bool isOfTheField
+    json other = valueOfAnotherType(place.value(), type);
+    bool isStillValid
         = (place.key() == "group" && other.is_null()) || (place.key() == "warmupLeftMs" && other.is_number());
     place.value() = other;
-    RC_ASSERT(isHost(entry) == isOfTheField);
+    RC_ASSERT(isHost(entry) == isStillValid);
 }
 
-RC_GTEST_PROP(PlatformCodec, TakesNoHostFromACutEntry, (unsigned draw))
+RC_GTEST_PROP(PlatformCodec, RejectsTruncatedHostEntries, (unsigned draw))
 {
     std::string text = listEntry().dump();
     RC_ASSERT(!std::holds_alternative<Host>(codec.host("i-1", text.substr(0, draw % text.size()))));
 }
 
 // Unreadable entries of other writers do not affect the other records of a page.
-RC_GTEST_PROP(PlatformCodec, KeepsTheOtherRecordsOfAPage, (const std::string& bytes, unsigned type))
+RC_GTEST_PROP(PlatformCodec, UnreadableEntriesDoNotAffectTheRestOfAPage, (const std::string& bytes, unsigned type))
 {
     json entries = json::array();
     entries.push_back({ { "key", "i-1" }, { "offset", 3 }, { "data", "e30=" } });
     entries.push_back({ { "key", "i-2" }, { "offset", 4 }, { "data", bytes + "\x01" } });
-    entries.push_back(ofAnotherType(json::object(), type));
+    entries.push_back(valueOfAnotherType(json::object(), type));
     entries.push_back({ { "key", type }, { "offset", "x" } });
     entries.push_back({ { "key", "i-3" }, { "offset", 6 }, { "data", "e30=" } });
     json body { { "entries", entries }, { "endOffset", 9 }, { "hasMore", false } };
@@ -190,11 +190,11 @@
     RC_ASSERT(!records[2].isReadable && !records[3].isReadable);
 }
 
-RC_GTEST_PROP(PlatformCodec, KeepsTheOtherRecordsOfALog, (const std::string& bytes))
+RC_GTEST_PROP(PlatformCodec, UnreadableRecordsDoNotAffectTheRestOfALog, (const std::string& bytes))
 {
-    std::string spoilt = bytes.substr(0, 200);
+    std::string unreadable = bytes.substr(0, 200);
     std::string body(16, '\0');
-    std::string framed = keyedRecord("", spoilt).substr(5);
+    std::string framed = keyedRecord("", unreadable).substr(5);
     uint32_t size = static_cast<uint32_t>(framed.size());
     body += keyedRecord("i-1", "{}");
     for (int shift = 24; shift >= 0; shift -= 8)
@@ -207,13 +207,13 @@
 }
 
 // Other writers choose the keys, so a key may contain any character.
-TEST(PlatformCodec, AsksOnAfterAnyKey)
+TEST(PlatformCodec, EncodesKeysInQueries)
 {
     HttpRequest request = codec.readNewest(LogName::BackendServers, "i-1&part=7 %");
     EXPECT_NE(toView(request.target()).find("after=i-1%26part%3D7%20%25"), std::string_view::npos);
 }
 
-TEST(PlatformCodec, SeesAnotherLifeInAReport)
+TEST(PlatformCodec, DetectsAnotherInstanceInAReport)
 {
     HttpResponse response = answer(200, R"({"sequence":0})");
     response.set("Instance-Id", "i-2");
@@ -235,14 +235,14 @@
     EXPECT_EQ(std::get<Error>(cut).code, ErrorCode::Malformed);
 }
 
-TEST(PlatformCodec, GoesOnWhereDeletedRecordsEnd)
+TEST(PlatformCodec, ContinuesAfterDeletedRecords)
 {
     auto page = std::get<LogPage>(codec.logPage(LogName::Controller, 3, answer(410, R"({"startOffset":90})")));
     EXPECT_TRUE(page.isGap);
     EXPECT_EQ(page.nextOffset, 90u);
 }
 
-TEST(PlatformCodec, AppendsOnACondition)
+TEST(PlatformCodec, AppendsConditionally)
 {
     HttpRequest request = codec.append(LogName::Controller, 12, "abc");
     EXPECT_NE(toView(request.target()).find("at=12"), std::string_view::npos);
@@ -253,7 +253,7 @@
 }
 
 // The API key is not forwarded, and a caller can't forge the headers that the gateway sets.
-TEST(PlatformCodec, PassesOnWhatIsTheCallersAndNothingElse)
+TEST(PlatformCodec, ForwardsOnlyTheCallersOwnHeaders)
 {
     RequestHead head;
     head.method(http::verb::post);
@@ -287,7 +287,7 @@
     EXPECT_EQ(request.count("Key") + request.count("X-Hop"), 0u);
 }
 
-TEST(PlatformCodec, BelievesOnlyAPromiseThatARequestDidNotRun)
+TEST(PlatformCodec, RequiresAnExplicitSignThatARequestDidNotRun)
 {
     ResponseHead head;
     head.result(503);
@@ -319,7 +319,7 @@
     EXPECT_EQ(codec.orderResult(answer(421, "")), OrderResult::Gone);
 }
 
-TEST(PlatformCodec, AnswersWhichNodesToUse)
+TEST(PlatformCodec, AnswersAddressQueries)
 {
     auto question = codec.entriesQuestion("/resolve?name=a.example&region=bengal&zone=howrah");
     ASSERT_TRUE(question);
@@ -332,7 +332,7 @@
 }
 
 // A limit counts only if it is unambiguous.
-TEST(PlatformCodec, ReadsTheRateThatAServerNames)
+TEST(PlatformCodec, ReadsServerLimits)
 {
     auto noticeOf = [](std::initializer_list<const char*> limits) {
         ResponseHead head;
@@ -344,16 +344,16 @@
     EXPECT_EQ(noticeOf({}).unreadable, "");
     EXPECT_EQ(noticeOf({ "1.5" }).requestsPerSecond, 1.5);
     EXPECT_EQ(noticeOf({ "0" }).requestsPerSecond, 0);
-    for (const char* nonsense : { "-1", "nan", "inf", "1e308", "1e3", "many", "", "1.5 a second", "+2", "0x10",
+    for (const char* invalid : { "-1", "nan", "inf", "1e308", "1e3", "many", "", "1.5 a second", "+2", "0x10",
              "99999999999999999999999999" }) {
-        EXPECT_EQ(noticeOf({ nonsense }).requestsPerSecond, std::nullopt) << nonsense;
-        EXPECT_NE(noticeOf({ nonsense }).unreadable, "") << nonsense;
+        EXPECT_EQ(noticeOf({ invalid }).requestsPerSecond, std::nullopt) << invalid;
+        EXPECT_NE(noticeOf({ invalid }).unreadable, "") << invalid;
     }
     EXPECT_EQ(noticeOf({ "1", "2" }).requestsPerSecond, std::nullopt) << "two different values are ambiguous";
     EXPECT_NE(noticeOf({ "1", "2" }).unreadable, "");
 }
 
-TEST(PlatformCodec, ReadsTheBackoffThatAServerAsksFor)
+TEST(PlatformCodec, ReadsServerBackoffs)
 {
     auto noticeOf = [](unsigned status, const char* retryAfter) {
         ResponseHead head;
@@ -366,13 +366,13 @@
     EXPECT_EQ(noticeOf(200, "3").backoff, std::nullopt) << "only a refusal carries a backoff";
     EXPECT_EQ(noticeOf(421, "3").backoff, std::nullopt) << "sent by another instance";
     EXPECT_EQ(noticeOf(503, "31536000").backoff, std::chrono::seconds(120)) << "the backoff is capped";
-    for (const char* nonsense : { "-3", "Wed, 21 Oct 2026 07:28:00 GMT", "nan", "1e9", "soon" }) {
-        EXPECT_EQ(noticeOf(503, nonsense).backoff, std::nullopt) << nonsense;
-        EXPECT_NE(noticeOf(503, nonsense).unreadable, "") << nonsense;
+    for (const char* invalid : { "-3", "Wed, 21 Oct 2026 07:28:00 GMT", "nan", "1e9", "soon" }) {
+        EXPECT_EQ(noticeOf(503, invalid).backoff, std::nullopt) << invalid;
+        EXPECT_NE(noticeOf(503, invalid).unreadable, "") << invalid;
     }
 }
 
-TEST(PlatformCodec, ReadsThatAServerDrains)
+TEST(PlatformCodec, ReadsServerDraining)
 {
     auto noticeOf = [](const char* draining) {
         ResponseHead head;
--- a/tests/platform/deskconfig.h
+++ b/tests/platform/exampleconfig.h
@@ -6,7 +6,7 @@
 
 namespace Kumquatpick {
 
-inline nlohmann::json deskRoute(const char* prefix, const char* type, const char* service)
+inline nlohmann::json exampleRoute(const char* prefix, const char* type, const char* service)
 {
     return { { "name", prefix }, { "host", "desk.example" }, { "pathPrefix", prefix }, { "type", type },
         { "timeoutMs", 4000 }, { "targetLatencyMs", 400 }, { "priority", 1 }, { "service", service },
@@ -14,7 +14,7 @@
 }
 
 // A configuration with a service of models, whose replicas have two hosts each, and a plain service.
-inline nlohmann::json deskConfig(int version, const std::vector<std::string>& keys)
+inline nlohmann::json exampleConfig(int version, const std::vector<std::string>& keys)
 {
     using nlohmann::json;
     json model { { "name", "pair" }, { "size", 2 }, { "fraction", 1.0 }, { "pace", 1.0 }, { "loadS", 0.1 },
@@ -22,8 +22,8 @@
     json runtime { { "capacity", 4 }, { "modelList", { model } }, { "loadsPerS", 50 }, { "loads_at_once", 7 } };
     return { { "version", version },
         { "routes",
-            { deskRoute("/story/", "streaming", "writers"), deskRoute("/once/", "non_idempotent", "desk"),
-                deskRoute("/again/", "idempotent", "desk") } },
+            { exampleRoute("/story/", "streaming", "writers"), exampleRoute("/once/", "non_idempotent", "desk"),
+                exampleRoute("/again/", "idempotent", "desk") } },
         { "services",
             { { { "name", "writers" }, { "healthCheck", "/h" }, { "runtime", runtime } },
                 { { "name", "desk" }, { "healthCheck", "/h" } } } },
--- a/tests/platform/gateway_test.cpp
+++ b/tests/platform/gateway_test.cpp
@@ -1,6 +1,6 @@
-#include "platform/deskcaller.h"
-#include "platform/deskconfig.h"
-#include "platform/standin.h"
+#include "platform/callerthread.h"
+#include "platform/exampleconfig.h"
+#include "platform/platformfakes.h"
 #include "platform/testnode.h"
 
 #include <boost/asio/write.hpp>
@@ -29,20 +29,20 @@
     protected:
         void publish(int version, const std::vector<std::string>& keys = { "key-1" })
         {
-            m_store.put("keyed.op", "config", deskConfig(version, keys).dump());
+            m_store.put("keyed.op", "config", exampleConfig(version, keys).dump());
         }
 
         void addHosts(int count, bool isPlain)
         {
             for (int i = 0; i < count; ++i)
-                m_hosts.push_back(std::make_unique<StandinHost>(m_store,
-                    StandinHost::Options { (isPlain ? "plain-" : "model-") + std::to_string(i),
+                m_hosts.push_back(std::make_unique<FakeHost>(m_store,
+                    FakeHost::Options { (isPlain ? "plain-" : "model-") + std::to_string(i),
                         isPlain ? "desk" : "writers", "domain-1", isPlain }));
         }
 
-        std::vector<StandinHost*> openHeads()
+        std::vector<FakeHost*> openHeads()
         {
-            std::vector<StandinHost*> heads;
+            std::vector<FakeHost*> heads;
             for (auto& host : m_hosts) {
                 if (host->isOpenHead())
                     heads.push_back(host.get());
@@ -94,16 +94,16 @@
             return total;
         }
 
-        static std::string wholeStream()
+        static std::string completeStream()
         {
             std::string text;
-            for (int id = 1; id <= StandinHost::eventsPerStream; ++id)
+            for (int id = 1; id <= FakeHost::eventsPerStream; ++id)
                 text += "id: " + std::to_string(id) + "\ndata: piece\n\n";
             return text;
         }
 
-        StandinStore m_store;
-        std::vector<std::unique_ptr<StandinHost>> m_hosts;
+        FakeStore m_store;
+        std::vector<std::unique_ptr<FakeHost>> m_hosts;
         std::unique_ptr<TestNode> m_node;
         std::atomic<int> m_calls { 0 };
     };
@@ -123,22 +123,22 @@
     }
 
     // The maximum number of arrivals in any span of this length that ends after the given time.
-    size_t mostArrivals(
-        std::span<const StandinHost::Arrival> arrivals, Milliseconds span, std::chrono::steady_clock::time_point after)
+    size_t maxArrivals(
+        std::span<const FakeHost::Arrival> arrivals, Milliseconds span, std::chrono::steady_clock::time_point after)
     {
-        size_t most = 0;
+        size_t maximum = 0;
         for (size_t first = 0, last = 0; last < arrivals.size(); ++last) {
             while (arrivals[last].at - arrivals[first].at >= span)
                 ++first;
             if (arrivals[last].at > after)
-                most = std::max(most, last - first + 1);
+                maximum = std::max(maximum, last - first + 1);
         }
-        return most;
+        return maximum;
     }
 
 }
 
-TEST_F(GatewayTest, RefusesWhileNoConfigurationIsKnown)
+TEST_F(GatewayTest, RefusesRequestsWithoutAConfiguration)
 {
     addHosts(1, true);
     m_node = std::make_unique<TestNode>("node-1", m_store.address());
@@ -150,14 +150,14 @@
     EXPECT_EQ(readiness.Get("/readyz")->status, 503);
 }
 
-TEST_F(GatewayTest, FormsReplicasAndServesBothKinds)
+TEST_F(GatewayTest, FormsReplicasAndServesBothKindsOfServices)
 {
     startServing(4, 2);
     EXPECT_EQ(openHeads().size(), 2u);
     auto story = call("/story/x");
     ASSERT_TRUE(story);
     EXPECT_EQ(story->status, 200);
-    EXPECT_EQ(story->body, wholeStream());
+    EXPECT_EQ(story->body, completeStream());
     EXPECT_TRUE(story->get_header_value("Response-Seal").starts_with("seal-model"));
     auto plain = call("/once/x");
     EXPECT_TRUE(plain->body.starts_with("hello by plain-"));
@@ -168,7 +168,7 @@
     EXPECT_EQ(answer["addresses"][0], m_node->callers().toString());
 }
 
-TEST_F(GatewayTest, AnswersByItsConfiguration)
+TEST_F(GatewayTest, AppliesItsConfiguration)
 {
     startServing(0, 1);
     EXPECT_EQ(status("/nowhere/x"), 404);
@@ -178,11 +178,11 @@
     EXPECT_TRUE(eventually([&] { return status("/again/x", "key-1") == 401; }, Milliseconds(2000)));
     EXPECT_EQ(status("/again/x", "key-2"), 200);
     publish(1, { "key-1" });
-    ASSERT_TRUE(eventually([&] { return m_store.isReadToItsEnd("keyed.op"); }));
+    ASSERT_TRUE(eventually([&] { return m_store.isFullyRead("keyed.op"); }));
     EXPECT_EQ(status("/again/x", "key-1"), 401) << "an older configuration is never applied";
 }
 
-TEST_F(GatewayTest, RefusesWhatItCanNotReadAndSendsNothingOn)
+TEST_F(GatewayTest, RejectsMalformedRequestsWithoutForwarding)
 {
     startServing(0, 1);
     constexpr const char* head = "POST /again/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\nKey: key-1\r\n";
@@ -198,21 +198,21 @@
     EXPECT_EQ(runs(), 0);
 }
 
-TEST_F(GatewayTest, TriesAnotherServerOnlyWhereTheFirstDidNotRunIt)
+TEST_F(GatewayTest, RetriesOnAnotherServerIfTheFirstDidNotExecute)
 {
     startServing(0, 2);
-    m_hosts[0]->isFull = true;
+    m_hosts[0]->refusesRequests = true;
     for (int i = 0; i < 6; ++i)
         EXPECT_EQ(status("/once/x"), 200);
     EXPECT_EQ(m_hosts[1]->runs, 6);
     EXPECT_EQ(m_hosts[0]->runs, 0);
 }
 
-TEST_F(GatewayTest, NeverRepeatsWhatMayHaveRunUnlessItMayBe)
+TEST_F(GatewayTest, RepeatsPossiblyExecutedRequestsOnlyIfIdempotent)
 {
     startServing(0, 2);
     for (auto& host : m_hosts)
-        host->losesAnswers = true;
+        host->truncatesAnswers = true;
     auto response = call("/once/x");
     EXPECT_EQ(response->status, 502) << "503 would promise that it has not run";
     EXPECT_EQ(runs(), 1);
@@ -223,7 +223,7 @@
 }
 
 // Streams of a stalled replica resume on another one without lost or repeated events.
-TEST_F(GatewayTest, ResumesStreamsOfAReplicaThatStandsStill)
+TEST_F(GatewayTest, ResumesStreamsOfAStalledReplica)
 {
     startServing(4, 0);
     std::vector<std::optional<httplib::Response>> answers(4);
@@ -231,32 +231,32 @@
     callers.reserve(answers.size());
     for (auto& answer : answers)
         callers.emplace_back([&] { answer = call("/story/x"); });
-    StandinHost* stuck = openHeads()[0];
-    int sentBefore = stuck->eventsSent;
-    ASSERT_TRUE(eventually([&] { return stuck->runs > 0 && stuck->eventsSent >= sentBefore + 3; }));
-    stuck->standsStill = true;
+    FakeHost* stalled = openHeads()[0];
+    int sentBefore = stalled->eventsSent;
+    ASSERT_TRUE(eventually([&] { return stalled->runs > 0 && stalled->eventsSent >= sentBefore + 3; }));
+    stalled->isStalled = true;
     for (auto& caller : callers)
         caller.join();
     for (auto& answer : answers) {
         ASSERT_TRUE(answer);
-        EXPECT_EQ(answer->body, wholeStream());
+        EXPECT_EQ(answer->body, completeStream());
     }
-    EXPECT_TRUE(eventually([&] { return stuck->cutOff > 0; }, Milliseconds(1000)))
+    EXPECT_TRUE(eventually([&] { return stalled->abortedStreams > 0; }, Milliseconds(1000)))
         << "the gateway aborts the work there";
 }
 
-TEST_F(GatewayTest, EndsTheWorkForACallerThatLeft)
+TEST_F(GatewayTest, AbortsStreamsOfDisconnectedCallers)
 {
     startServing(2, 0);
-    openHeads()[0]->standsStill = true;
+    openHeads()[0]->isStalled = true;
     httplib::Client client("127.0.0.1", m_node->callers().port);
     client.set_read_timeout(0, 300'000);
     client.Post("/story/x", headers(), "hello", "text/plain");
     client.stop();
-    EXPECT_TRUE(eventually([&] { return openHeads()[0]->cutOff > 0; }, Milliseconds(500)));
+    EXPECT_TRUE(eventually([&] { return openHeads()[0]->abortedStreams > 0; }, Milliseconds(500)));
 }
 
-TEST_F(GatewayTest, FinishesWhatRunsWhenItIsStopped)
+TEST_F(GatewayTest, FinishesRunningRequestsOnStop)
 {
     startServing(2, 0);
     std::optional<httplib::Response> answer;
@@ -266,11 +266,11 @@
     httplib::Client readiness("127.0.0.1", m_node->readiness().port);
     EXPECT_TRUE(eventually([&] { return readiness.Get("/readyz")->status == 503; }, Milliseconds(500)));
     caller.join();
-    EXPECT_EQ(answer->body, wholeStream());
+    EXPECT_EQ(answer->body, completeStream());
     EXPECT_TRUE(eventually([&] { return m_node->hasEnded(); }, Milliseconds(3500)));
 }
 
-TEST_F(GatewayTest, NodesTellEachOtherWhatTheStoreDoesNot)
+TEST_F(GatewayTest, GetsTheConfigurationFromAPeerWhileTheStoreIsDown)
 {
     startServing(0, 1);
     m_store.isDown = true;
@@ -283,10 +283,10 @@
 }
 
 // The store refuses the calls of one node, which then learns from the other node that a host drains.
-TEST_F(GatewayTest, LearnsOfADrainingHostWhileTheStoreTurnsItAway)
+TEST_F(GatewayTest, LearnsOfADrainingHostFromAPeerWhileTheStoreRefusesCalls)
 {
     startServing(0, 2);
-    StandinDoor door(m_store);
+    FakeStoreEndpoint door(m_store);
     TestNode second("node-2", door.address(), m_node->peers().toString());
     httplib::Client client("127.0.0.1", second.callers().port);
     auto answers = [&] {
@@ -294,28 +294,28 @@
         return answer && answer->status == 200;
     };
     ASSERT_TRUE(eventually(answers));
-    door.turnsAway = true;
-    StandinHost& leaving = *m_hosts.front();
-    leaving.isDraining = true;
-    leaving.announce();
-    ASSERT_TRUE(eventually([&] { return m_store.isReadToItsEnd("keyed.servers"); }));
+    door.refusesCalls = true;
+    FakeHost& draining = *m_hosts.front();
+    draining.isDraining = true;
+    draining.announce();
+    ASSERT_TRUE(eventually([&] { return m_store.isFullyRead("keyed.servers"); }));
     ASSERT_TRUE(eventually(
         [&] {
-            int before = leaving.runs;
+            int before = draining.runs;
             for (int i = 0; i < 20; ++i)
                 answers();
-            return leaving.runs == before;
+            return draining.runs == before;
         },
         Milliseconds(3000)));
     EXPECT_TRUE(answers());
 }
 
 // A node that starts while the store refuses its calls gets the hosts and the configuration from its peer.
-TEST_F(GatewayTest, StartsWithTheListOfItsPeer)
+TEST_F(GatewayTest, StartsWithTheHostListOfAPeer)
 {
     startServing(0, 1);
-    StandinDoor door(m_store);
-    door.turnsAway = true;
+    FakeStoreEndpoint door(m_store);
+    door.refusesCalls = true;
     TestNode second("node-2", door.address(), m_node->peers().toString());
     httplib::Client client("127.0.0.1", second.callers().port);
     EXPECT_TRUE(eventually([&] {
@@ -326,7 +326,7 @@
 
 // Once a configuration change may have taken effect unseen, a node without contact to the store can't tell whether
 // a route or key exists, so it must answer 503.
-TEST_F(GatewayTest, RefusesNothingAsUnknownByAnOldConfiguration)
+TEST_F(GatewayTest, Answers503InsteadOf404WithAnOutdatedConfiguration)
 {
     startServing(0, 1);
     EXPECT_EQ(status("/nowhere/x"), 404);
@@ -340,14 +340,14 @@
 
 // Callers were served by old versions of the configuration more than 2 s after the store had accepted newer ones.
 // The store had not answered for 6 s, and then had answered every call for 3 s.
-TEST_F(GatewayTest, HasAVersionInTimeAfterTheStoreWasSilent)
+TEST_F(GatewayTest, AppliesANewConfigurationInTimeAfterAStoreOutage)
 {
     startServing(0, 1);
     publish(2, { "key-2" });
     ASSERT_TRUE(eventually([&] { return status("/again/x", "key-2") == 200; }));
     m_store.isSilent = true;
     // The read that was pending when the store stopped answering, and the next one.
-    ASSERT_TRUE(eventually([&] { return m_store.lostReads("keyed.op") == 2; }));
+    ASSERT_TRUE(eventually([&] { return m_store.unansweredReads("keyed.op") == 2; }));
     m_store.isSilent = false;
     publish(3, { "key-3" });
     EXPECT_TRUE(eventually([&] { return status("/again/x", "key-3") == 200; }, Milliseconds(2000)));
@@ -355,7 +355,7 @@
 
 // While the store is down, no other node can claim control. So the controller replaces lost replicas even after its
 // lease has expired.
-TEST_F(GatewayTest, ReplacesALostReplicaWhileTheStoreIsAway)
+TEST_F(GatewayTest, ReplacesALostReplicaWhileTheStoreIsDown)
 {
     startServing(3, 0);
     TestNode second("node-2", m_store.address(), m_node->peers().toString());
@@ -364,27 +364,27 @@
         auto answer = client.Post("/nowhere/x", headers(), "", "text/plain");
         return answer && answer->status == 404;
     }));
-    StandinHost* head = openHeads()[0];
+    FakeHost* head = openHeads()[0];
     auto isSpare = [](const auto& host) { return !host->isMember(); };
-    StandinHost* spare = std::ranges::find_if(m_hosts, isSpare)->get();
+    FakeHost* spare = std::ranges::find_if(m_hosts, isSpare)->get();
     auto isOther = [&](const auto& host) { return host.get() != head && host.get() != spare; };
-    StandinHost* member = std::ranges::find_if(m_hosts, isOther)->get();
+    FakeHost* member = std::ranges::find_if(m_hosts, isOther)->get();
     m_store.isDown = true;
     // The controller renews its claim every 0.6 s, so its lease of 2.6 s has expired by then, whichever node it is.
-    constexpr int claimsInALease = 6;
-    ASSERT_TRUE(eventually([&] { return m_store.refusedAppends >= claimsInALease; }));
+    constexpr int claimsPerLease = 6;
+    ASSERT_TRUE(eventually([&] { return m_store.refusedAppends >= claimsPerLease; }));
     int sentBefore = head->eventsSent;
     std::thread caller([&] { call("/story/x"); });
     ASSERT_TRUE(eventually([&] { return head->eventsSent >= sentBefore + 3; }));
-    head->standsStill = true;
-    member->isLost = true;
+    head->isStalled = true;
+    member->isFailing = true;
     EXPECT_TRUE(eventually([&] { return spare->isMember() && openHeads().size() == 1; }));
-    head->standsStill = false;
+    head->isStalled = false;
     caller.join();
 }
 
 // Unanswered orders are sent again. The host refuses the second copy, as it has accepted an order in between.
-TEST_F(GatewayTest, JoinsEachHostOnceAlthoughOrdersAreCarriedOutLate)
+TEST_F(GatewayTest, JoinsEachHostOnceWhenOrdersAreDelayed)
 {
     publish(1);
     addHosts(2, false);
@@ -399,12 +399,12 @@
         EXPECT_EQ(host->joins, 1);
 }
 
-TEST_F(GatewayTest, ServesWithAHostThatStartedAgainUnderItsName)
+TEST_F(GatewayTest, ServesWithARestartedHost)
 {
     startServing(2, 0);
     for (auto& host : m_hosts) {
         if (host->isOpenHead()) {
-            host->startAgain();
+            host->restart();
             break;
         }
     }
@@ -413,7 +413,7 @@
 
 // Entries of other writers add no hosts and do not affect other entries. A host whose entry was overwritten serves
 // again once it has rewritten the entry.
-TEST_F(GatewayTest, TakesNoHostFromEntriesOfOtherWriters)
+TEST_F(GatewayTest, IgnoresHostEntriesOfOtherWriters)
 {
     startServing(2, 1);
     m_store.put("keyed.servers", "stranger", "\xff\xfe");
@@ -423,7 +423,7 @@
             "sequence":1,"warmupLeftMs":0})");
     m_store.put("keyed.servers", m_hosts.back()->id(), "[]");
     m_hosts.back()->announce();
-    ASSERT_TRUE(eventually([&] { return m_store.isReadToItsEnd("keyed.servers"); }));
+    ASSERT_TRUE(eventually([&] { return m_store.isFullyRead("keyed.servers"); }));
     for (int i = 0; i < 10; ++i) {
         EXPECT_EQ(status("/again/x"), 200);
         EXPECT_EQ(status("/once/x"), 200);
@@ -431,10 +431,10 @@
     EXPECT_EQ(status("/story/x"), 200);
 }
 
-TEST_F(GatewayTest, SendsNothingToAHostWhoseEntryLapsed)
+TEST_F(GatewayTest, SendsNothingToAHostWithoutAnEntry)
 {
     startServing(0, 2);
-    m_hosts[0]->lapse();
+    m_hosts[0]->removeEntry();
     ASSERT_TRUE(eventually([&] {
         m_hosts[0]->runs = 0;
         for (int i = 0; i < 12; ++i)
@@ -446,41 +446,41 @@
 }
 
 // A claim that was written although its answer was lost is found by reading the log.
-TEST_F(GatewayTest, ControlsReplicasDespiteLostAnswersOfTheStore)
+TEST_F(GatewayTest, FormsReplicasDespiteLostStoreAnswers)
 {
-    m_store.answersToLose = 2;
+    m_store.answersToDelay = 2;
     startServing(2, 0);
     EXPECT_EQ(openHeads().size(), 1u);
 }
 
 // Guards against ignored limits: a server that announced one got as many requests as before, from each node.
-TEST_F(GatewayTest, KeepsTheRateThatAServerNamesOverAllNodes)
+TEST_F(GatewayTest, RespectsServerLimitsAcrossAllNodes)
 {
     constexpr double perSecond = 1.5;
     constexpr Milliseconds span { 4000 };
-    constexpr Milliseconds timeToLearn { 3000 };
+    constexpr Milliseconds propagationTime { 3000 };
     constexpr size_t allowed = 14; // 1.5 times the rate over that span, plus five.
     startServing(0, 3);
     TestNode second("node-2", m_store.address(), m_node->peers().toString());
     TestNode third("node-3", m_store.address(), m_node->peers().toString());
-    std::list<DeskCaller> callers;
+    std::list<CallerThread> callers;
     for (const Address& node : { m_node->callers(), second.callers(), third.callers() })
         callers.emplace_back(node, "/again/x", headers(), Milliseconds(50));
-    StandinHost& limited = *m_hosts[0];
+    FakeHost& limited = *m_hosts[0];
     ASSERT_TRUE(eventually([&] { return limited.runs > 20; })) << "all nodes use it";
-    auto namedAt = std::chrono::steady_clock::now();
-    limited.namedLimit = perSecond;
-    std::this_thread::sleep_for(timeToLearn + span + span);
-    EXPECT_LE(mostArrivals(limited.arrivals(), span, namedAt + timeToLearn), allowed);
-    EXPECT_GE(mostArrivals(limited.arrivals(), span, namedAt + timeToLearn + span), 3u)
+    auto announcedAt = std::chrono::steady_clock::now();
+    limited.announcedLimit = perSecond;
+    std::this_thread::sleep_for(propagationTime + span + span);
+    EXPECT_LE(maxArrivals(limited.arrivals(), span, announcedAt + propagationTime), allowed);
+    EXPECT_GE(maxArrivals(limited.arrivals(), span, announcedAt + propagationTime + span), 3u)
         << "not all of its traffic stops";
 
-    limited.namedLimit = -1;
+    limited.announcedLimit = -1;
     int runsBefore = limited.runs;
     EXPECT_TRUE(eventually([&] { return limited.runs > runsBefore + 40; })) << "once it names none, traffic returns";
     int sent = 0;
     int served = 0;
-    for (const DeskCaller& each : callers) {
+    for (const CallerThread& each : callers) {
         sent += each.sent();
         served += each.served();
     }
@@ -488,39 +488,39 @@
 }
 
 // Guards against ignored backoffs: a server that refused with Retry-After got the next calls of that node too.
-TEST_F(GatewayTest, BacksOffForAsLongAsAServerAskedFor)
+TEST_F(GatewayTest, RespectsServerBackoffs)
 {
     constexpr auto backoff = 5s;
-    constexpr auto onTheWay = 500ms;
+    constexpr auto transitTime = 500ms;
     constexpr size_t allowed = 2;
     startServing(0, 3);
-    StandinHost& tired = *m_hosts[0];
-    tired.backoffAsked = static_cast<int>(backoff / 1s);
-    tired.isFull = true;
-    DeskCaller caller(m_node->callers(), "/again/x", headers(), Milliseconds(20));
-    size_t before = tired.arrivals().size();
-    ASSERT_TRUE(eventually([&] { return tired.arrivals().size() > before; }));
-    auto refusedAt = tired.arrivals()[before].at;
+    FakeHost& refusing = *m_hosts[0];
+    refusing.requestedBackoff = static_cast<int>(backoff / 1s);
+    refusing.refusesRequests = true;
+    CallerThread caller(m_node->callers(), "/again/x", headers(), Milliseconds(20));
+    size_t before = refusing.arrivals().size();
+    ASSERT_TRUE(eventually([&] { return refusing.arrivals().size() > before; }));
+    auto refusedAt = refusing.arrivals()[before].at;
     std::this_thread::sleep_until(refusedAt + backoff);
-    auto arrivals = tired.arrivals();
+    auto arrivals = refusing.arrivals();
     auto within = std::ranges::count_if(
-        arrivals, [&](const auto& each) { return each.at > refusedAt + onTheWay && each.at < refusedAt + backoff; });
+        arrivals, [&](const auto& each) { return each.at > refusedAt + transitTime && each.at < refusedAt + backoff; });
     EXPECT_LE(static_cast<size_t>(within), allowed);
     EXPECT_GE(caller.served() + 2, caller.sent()) << "the others serve its calls";
-    tired.isFull = false;
-    EXPECT_TRUE(eventually([&] { return tired.runs > 10; })) << "its backoff is over";
+    refusing.refusesRequests = false;
+    EXPECT_TRUE(eventually([&] { return refusing.runs > 10; })) << "its backoff is over";
 }
 
 // Guards against ignored drain notices: a server that announced draining only in its answers got calls until the
 // store's list showed it too.
-TEST_F(GatewayTest, SendsNothingMoreToAServerThatSaysItDrains)
+TEST_F(GatewayTest, SendsNothingToAServerThatAnnouncesDraining)
 {
     constexpr auto drain = 2s;
     startServing(0, 2);
-    DeskCaller caller(m_node->callers(), "/again/x", headers(), Milliseconds(20));
-    StandinHost& draining = *m_hosts[0];
+    CallerThread caller(m_node->callers(), "/again/x", headers(), Milliseconds(20));
+    FakeHost& draining = *m_hosts[0];
     ASSERT_TRUE(eventually([&] { return draining.runs > 5; }));
-    draining.saysDraining = true;
+    draining.announcesDraining = true;
     int runsBefore = draining.runs;
     ASSERT_TRUE(eventually([&] { return draining.runs > runsBefore; }));
     std::this_thread::sleep_for(drain);
--- a/tests/platform/gatewaysoak_test.cpp
+++ b/tests/platform/gatewaysoak_test.cpp
@@ -1,7 +1,7 @@
-#include "platform/deskcaller.h"
-#include "platform/deskconfig.h"
+#include "platform/callerthread.h"
+#include "platform/exampleconfig.h"
 #include "platform/noticerules.h"
-#include "platform/standin.h"
+#include "platform/platformfakes.h"
 #include "platform/testnode.h"
 
 #include "base/random.h"
@@ -17,10 +17,10 @@
 
     using namespace std::chrono_literals;
 
-    int fromEnvironment(const char* name, int usual)
+    int fromEnvironment(const char* name, int defaultValue)
     {
         const char* text = std::getenv(name);
-        return text ? std::atoi(text) : usual;
+        return text ? std::atoi(text) : defaultValue;
     }
 
     // Runs nodes, servers of both kinds, and callers that use their open connections until their node is gone. Events
@@ -38,7 +38,7 @@
                 addHost(true);
             for (int i = 0; i < nodes; ++i)
                 startNode();
-            std::this_thread::sleep_for(settles);
+            std::this_thread::sleep_for(settleTime);
         }
 
         void run(std::chrono::seconds duration)
@@ -46,19 +46,19 @@
             auto end = std::chrono::steady_clock::now() + duration;
             while (std::chrono::steady_clock::now() < end) {
                 step();
-                bool isCounted = calmPlainHosts() >= 2;
-                auto settled = std::chrono::steady_clock::now() - settles;
+                bool isCounted = plainHostsWithoutNotices() >= 2;
+                auto settled = std::chrono::steady_clock::now() - settleTime;
                 Calls before = plainCalls(settled);
-                std::this_thread::sleep_for(Milliseconds(200 + below(600)));
+                std::this_thread::sleep_for(Milliseconds(200 + randomBelow(600)));
                 Calls after = plainCalls(settled);
                 if (isCounted) {
                     m_plainCalls.sent += after.sent - before.sent;
                     m_plainCalls.served += after.served - before.served;
                 }
-                endStopped();
+                removeStoppedNodes();
             }
             for (Node& node : m_nodes)
-                collect(node);
+                countUnanswered(node);
             m_nodes.clear();
         }
 
@@ -67,15 +67,16 @@
             int served = 0;
         };
         // Calls to the plain service while at least two of its servers had announced nothing for some time.
-        Calls plainCallsInCalm() const { return m_plainCalls; }
+        Calls plainCallsWithoutNotices() const { return m_plainCalls; }
         int unanswered() const { return m_unanswered; }
         const std::string& events() const { return m_events; }
-        std::vector<std::string> broken()
+        std::vector<std::string> violations()
         {
             std::vector<std::string> lines;
             for (auto& host : m_hosts) {
                 auto arrivals = host->arrivals();
-                for (auto& rule : { overLimits(arrivals), withinBackoffs(arrivals), afterDraining(arrivals) }) {
+                for (auto& rule :
+                    { limitViolations(arrivals), backoffViolations(arrivals), drainViolations(arrivals) }) {
                     for (const std::string& line : rule)
                         lines.push_back(host->id() + ": " + line);
                 }
@@ -87,29 +88,32 @@
         static constexpr int nodes = 3;
         static constexpr int modelHosts = 6;
         static constexpr int plainHosts = 5;
-        static constexpr auto settles = 3s;
+        static constexpr auto settleTime = 3s;
         static constexpr Milliseconds callPause { 40 };
 
         struct Node {
             std::unique_ptr<TestNode> process;
-            std::list<DeskCaller> callers; // The last one calls the service of models.
+            std::list<CallerThread> callers; // The last one calls the service of models.
             bool isStopping = false;
             std::chrono::steady_clock::time_point started = std::chrono::steady_clock::now();
         };
 
-        static bool isCalm(const StandinHost& host)
+        static bool hasNoNotices(const FakeHost& host)
         {
-            return host.namedLimit < 0 && !host.isFull && !host.saysDraining;
+            return host.announcedLimit < 0 && !host.refusesRequests && !host.announcesDraining;
         }
 
-        int calmPlainHosts()
+        int plainHostsWithoutNotices()
         {
             auto now = std::chrono::steady_clock::now();
             int count = 0;
             for (const auto& host : m_hosts) {
-                if (!isCalm(*host))
-                    m_calmFrom[host.get()] = now + settles;
-                count += host->id().starts_with("plain") && isCalm(*host) && m_calmFrom[host.get()] <= now ? 1 : 0;
+                if (!hasNoNotices(*host))
+                    m_withoutNoticesFrom[host.get()] = now + settleTime;
+                count
+                    += host->id().starts_with("plain") && hasNoNotices(*host) && m_withoutNoticesFrom[host.get()] <= now
+                    ? 1
+                    : 0;
             }
             return count;
         }
@@ -129,20 +133,20 @@
             return calls;
         }
 
-        int below(int bound) { return static_cast<int>(m_random() % static_cast<uint64_t>(bound)); }
+        int randomBelow(int bound) { return static_cast<int>(m_random() % static_cast<uint64_t>(bound)); }
 
-        void note(std::string_view event)
+        void logEvent(std::string_view event)
         {
-            auto since = std::chrono::steady_clock::now() - m_begun;
+            auto since = std::chrono::steady_clock::now() - m_startTime;
             m_events += fmt::format("{:.1f} s: {}\n", toSeconds(since), event);
         }
 
-        void publish() { m_store.put("keyed.op", "config", deskConfig(++m_version, { "key-1" }).dump()); }
+        void publish() { m_store.put("keyed.op", "config", exampleConfig(++m_version, { "key-1" }).dump()); }
 
         void addHost(bool isPlain)
         {
-            m_hosts.push_back(std::make_unique<StandinHost>(m_store,
-                StandinHost::Options { fmt::format("{}-{}", isPlain ? "plain" : "model", m_hosts.size()),
+            m_hosts.push_back(std::make_unique<FakeHost>(m_store,
+                FakeHost::Options { fmt::format("{}-{}", isPlain ? "plain" : "model", m_hosts.size()),
                     isPlain ? "desk" : "writers", "domain-1", isPlain }));
         }
 
@@ -151,7 +155,8 @@
             std::string seeds = m_nodes.empty() ? std::string() : m_nodes.front().process->peers().toString();
             m_nodes.emplace_back();
             Node& node = m_nodes.back();
-            node.process = std::make_unique<TestNode>(fmt::format("node-{}", ++m_started), m_store.address(), seeds);
+            node.process
+                = std::make_unique<TestNode>(fmt::format("node-{}", ++m_startedNodes), m_store.address(), seeds);
             httplib::Headers headers { { "Host", "desk.example" }, { "Key", "key-1" }, { "Deadline-Ms", "4000" },
                 { "Model-Id", "pair" }, { "Token-Count", "10,20" } };
             for (const char* path : { "/again/x", "/once/x", "/story/x" })
@@ -160,76 +165,76 @@
 
         void step()
         {
-            StandinHost& host = *m_hosts[static_cast<size_t>(below(static_cast<int>(m_hosts.size())))];
-            bool hasNoNeed = isCalm(host);
-            switch (below(8)) {
+            FakeHost& host = *m_hosts[static_cast<size_t>(randomBelow(static_cast<int>(m_hosts.size())))];
+            bool isNormal = hasNoNotices(host);
+            switch (randomBelow(8)) {
             case 0:
             case 1:
-                return hasNoNeed ? nameLimit(host) : void();
+                return isNormal ? announceLimit(host) : void();
             case 2:
-                return hasNoNeed ? askForBackoff(host) : void();
+                return isNormal ? requestBackoff(host) : void();
             case 3:
             case 4:
-                return hasNoNeed ? void() : calm(host);
+                return isNormal ? void() : clearNotices(host);
             case 5:
-                return hasNoNeed && host.id().starts_with("plain") ? drain(host) : void();
+                return isNormal && host.id().starts_with("plain") ? announceDraining(host) : void();
             case 6:
-                note("a configuration is published");
+                logEvent("a configuration is published");
                 return publish();
             default:
-                return stopOne();
+                return stopRandomNode();
             }
         }
 
-        void nameLimit(StandinHost& host)
+        void announceLimit(FakeHost& host)
         {
-            host.namedLimit = 0.5 + below(60) / 10.0;
-            note(fmt::format("{} names a rate of {}/s", host.id(), host.namedLimit.load()));
+            host.announcedLimit = 0.5 + randomBelow(60) / 10.0;
+            logEvent(fmt::format("{} names a rate of {}/s", host.id(), host.announcedLimit.load()));
         }
 
-        void askForBackoff(StandinHost& host)
+        void requestBackoff(FakeHost& host)
         {
-            host.backoffAsked = 1 + below(4);
-            host.isFull = true;
-            note(fmt::format("{} refuses and asks for {} s", host.id(), host.backoffAsked.load()));
+            host.requestedBackoff = 1 + randomBelow(4);
+            host.refusesRequests = true;
+            logEvent(fmt::format("{} refuses and asks for {} s", host.id(), host.requestedBackoff.load()));
         }
 
-        void calm(StandinHost& host)
+        void clearNotices(FakeHost& host)
         {
-            host.namedLimit = -1;
-            host.isFull = false;
-            note(host.id() + " serves normally");
+            host.announcedLimit = -1;
+            host.refusesRequests = false;
+            logEvent(host.id() + " serves normally");
         }
 
-        void drain(StandinHost& host)
+        void announceDraining(FakeHost& host)
         {
-            host.saysDraining = true;
+            host.announcesDraining = true;
             addHost(true);
-            note(host.id() + " drains");
+            logEvent(host.id() + " drains");
         }
 
         // Stops one node at a time; its callers continue until it has ended.
-        void stopOne()
+        void stopRandomNode()
         {
             bool anyStops = std::ranges::any_of(m_nodes, [](const Node& node) { return node.isStopping; });
             if (anyStops)
                 return;
-            auto node = std::next(m_nodes.begin(), below(static_cast<int>(m_nodes.size())));
+            auto node = std::next(m_nodes.begin(), randomBelow(static_cast<int>(m_nodes.size())));
             m_unanswered += unansweredOf(*node);
             node->isStopping = true;
             node->process->stop();
-            note("a node stops");
+            logEvent("a node stops");
             startNode();
         }
 
-        void endStopped()
+        void removeStoppedNodes()
         {
             for (auto node = m_nodes.begin(); node != m_nodes.end();) {
                 if (!node->process->hasEnded()) {
                     ++node;
                     continue;
                 }
-                collect(*node);
+                countUnanswered(*node);
                 node = m_nodes.erase(node);
             }
         }
@@ -237,39 +242,39 @@
         static int unansweredOf(const Node& node)
         {
             int count = 0;
-            for (const DeskCaller& caller : node.callers)
+            for (const CallerThread& caller : node.callers)
                 count += caller.unanswered();
             return count;
         }
 
-        void collect(const Node& node) { m_unanswered += node.isStopping ? 0 : unansweredOf(node); }
+        void countUnanswered(const Node& node) { m_unanswered += node.isStopping ? 0 : unansweredOf(node); }
 
         Random m_random;
-        StandinStore m_store;
-        std::vector<std::unique_ptr<StandinHost>> m_hosts;
+        FakeStore m_store;
+        std::vector<std::unique_ptr<FakeHost>> m_hosts;
         std::list<Node> m_nodes;
         int m_version = 0;
-        int m_started = 0;
+        int m_startedNodes = 0;
         Calls m_plainCalls;
-        std::map<const StandinHost*, std::chrono::steady_clock::time_point> m_calmFrom;
+        std::map<const FakeHost*, std::chrono::steady_clock::time_point> m_withoutNoticesFrom;
         int m_unanswered = 0;
         std::string m_events; // One line per event.
-        std::chrono::steady_clock::time_point m_begun = std::chrono::steady_clock::now();
+        std::chrono::steady_clock::time_point m_startTime = std::chrono::steady_clock::now();
     };
 
 }
 
 // Nodes respect limits, backoffs and draining and answer every call, while all of these and restarts overlap.
-TEST(GatewaySoak, DoesAsServersSayOfThemselves)
+TEST(GatewaySoak, RespectsServerNotices)
 {
     int seed = fromEnvironment("KUMQUATPICK_SOAK_SEED", 1);
     GatewaySoak soak(static_cast<uint64_t>(seed));
     soak.run(std::chrono::seconds(fromEnvironment("KUMQUATPICK_SOAK_SECONDS", 20)));
-    auto broken = soak.broken();
-    for (const std::string& line : broken)
+    auto violations = soak.violations();
+    for (const std::string& line : violations)
         ADD_FAILURE() << "seed " << seed << ": " << line;
     EXPECT_EQ(soak.unanswered(), 0) << "seed " << seed;
-    auto calls = soak.plainCallsInCalm();
+    auto calls = soak.plainCallsWithoutNotices();
     EXPECT_GT(calls.served, calls.sent * 4 / 5) << "seed " << seed;
     if (testing::Test::HasFailure())
         GTEST_LOG_(INFO) << soak.events();
--- a/tests/platform/noticerules.cpp
+++ b/tests/platform/noticerules.cpp
@@ -13,76 +13,76 @@
     using Time = std::chrono::steady_clock::time_point;
 
     constexpr auto limitSpan = 4s;
-    constexpr auto timeToLearn = 3s;
-    constexpr auto onTheWay = 500ms;
-    constexpr auto drain = 2s;
-    constexpr size_t mostWithin = 2;
+    constexpr auto propagationTime = 3s;
+    constexpr auto transitTime = 500ms;
+    constexpr auto drainTime = 2s;
+    constexpr size_t maxDuringBackoff = 2;
 
-    std::string_view nodeOf(const StandinHost::Arrival& arrival)
+    std::string_view nodeOf(const FakeHost::Arrival& arrival)
     {
         return std::string_view(arrival.from).substr(0, arrival.from.find('/'));
     }
 
 }
 
-std::vector<std::string> overLimits(std::span<const StandinHost::Arrival> arrivals)
+std::vector<std::string> limitViolations(std::span<const FakeHost::Arrival> arrivals)
 {
-    std::vector<std::string> broken;
-    std::map<std::string_view, Time> toldAt;
+    std::vector<std::string> violations;
+    std::map<std::string_view, Time> notifiedAt;
     std::deque<Time> inSpan;
-    Time namedAt {};
+    Time announcedAt {};
     for (const auto& arrival : arrivals) {
-        if (arrival.namedLimit < 0) {
-            toldAt.clear();
+        if (arrival.announcedLimit < 0) {
+            notifiedAt.clear();
             inSpan.clear();
             continue;
         }
-        if (toldAt.empty())
-            namedAt = arrival.at;
-        Time told = toldAt.try_emplace(nodeOf(arrival), arrival.at).first->second;
-        if (arrival.at < told + onTheWay)
+        if (notifiedAt.empty())
+            announcedAt = arrival.at;
+        Time notified = notifiedAt.try_emplace(nodeOf(arrival), arrival.at).first->second;
+        if (arrival.at < notified + transitTime)
             continue;
         inSpan.push_back(arrival.at);
         while (arrival.at - inSpan.front() >= limitSpan)
             inSpan.pop_front();
-        auto allowed = static_cast<size_t>(1.5 * arrival.namedLimit * 4 + 5);
-        if (arrival.at > namedAt + timeToLearn && inSpan.size() > allowed)
-            broken.push_back(fmt::format(
-                "{} requests in 4 s at a limit of {}, allowed {}", inSpan.size(), arrival.namedLimit, allowed));
+        auto allowed = static_cast<size_t>(1.5 * arrival.announcedLimit * 4 + 5);
+        if (arrival.at > announcedAt + propagationTime && inSpan.size() > allowed)
+            violations.push_back(fmt::format(
+                "{} requests in 4 s at a limit of {}, allowed {}", inSpan.size(), arrival.announcedLimit, allowed));
     }
-    return broken;
+    return violations;
 }
 
-std::vector<std::string> withinBackoffs(std::span<const StandinHost::Arrival> arrivals)
+std::vector<std::string> backoffViolations(std::span<const FakeHost::Arrival> arrivals)
 {
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     for (const auto& asking : arrivals) {
-        if (asking.backoffAsked == 0)
+        if (asking.requestedBackoff == 0)
             continue;
-        Time end = asking.at + std::chrono::seconds(asking.backoffAsked);
+        Time end = asking.at + std::chrono::seconds(asking.requestedBackoff);
         auto count = static_cast<size_t>(std::ranges::count_if(arrivals, [&](const auto& each) {
-            return nodeOf(each) == nodeOf(asking) && each.at > asking.at + onTheWay && each.at < end;
+            return nodeOf(each) == nodeOf(asking) && each.at > asking.at + transitTime && each.at < end;
         }));
-        if (count > mostWithin)
-            broken.push_back(
-                fmt::format("{} requests by {} in a backoff of {} s", count, asking.from, asking.backoffAsked));
+        if (count > maxDuringBackoff)
+            violations.push_back(
+                fmt::format("{} requests by {} in a backoff of {} s", count, asking.from, asking.requestedBackoff));
     }
-    return broken;
+    return violations;
 }
 
-std::vector<std::string> afterDraining(std::span<const StandinHost::Arrival> arrivals)
+std::vector<std::string> drainViolations(std::span<const FakeHost::Arrival> arrivals)
 {
-    std::vector<std::string> broken;
-    std::map<std::string_view, Time> toldAt;
+    std::vector<std::string> violations;
+    std::map<std::string_view, Time> notifiedAt;
     for (const auto& arrival : arrivals) {
-        if (!arrival.saidDraining)
+        if (!arrival.announcedDraining)
             continue;
-        Time told = toldAt.try_emplace(nodeOf(arrival), arrival.at).first->second;
-        if (arrival.at > told + drain)
-            broken.push_back(
+        Time notified = notifiedAt.try_emplace(nodeOf(arrival), arrival.at).first->second;
+        if (arrival.at > notified + drainTime)
+            violations.push_back(
                 fmt::format("a request by {} over 2 s after the server announced its drain", arrival.from));
     }
-    return broken;
+    return violations;
 }
 
 } // namespace Kumquatpick
--- a/tests/platform/noticerules.h
+++ b/tests/platform/noticerules.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "platform/standin.h"
+#include "platform/platformfakes.h"
 
 #include <span>
 #include <string>
@@ -12,10 +12,10 @@
 
 // More than 1.5 times the announced limit plus five requests in any four seconds. Checked from three seconds after the
 // limit was first announced until it was lifted; counts only nodes that were told of it at least 0.5 s before.
-std::vector<std::string> overLimits(std::span<const StandinHost::Arrival>);
+std::vector<std::string> limitViolations(std::span<const FakeHost::Arrival>);
 // More than two requests from one node between 0.5 s after it was asked to back off and the end of the backoff.
-std::vector<std::string> withinBackoffs(std::span<const StandinHost::Arrival>);
+std::vector<std::string> backoffViolations(std::span<const FakeHost::Arrival>);
 // Requests from a node more than two seconds after it was told that the server drains.
-std::vector<std::string> afterDraining(std::span<const StandinHost::Arrival>);
+std::vector<std::string> drainViolations(std::span<const FakeHost::Arrival>);
 
 } // namespace Kumquatpick
--- a/tests/platform/standin.cpp
+++ b/tests/platform/platformfakes.cpp
@@ -1,4 +1,4 @@
-#include "platform/standin.h"
+#include "platform/platformfakes.h"
 
 #include "base/base64.h"
 
@@ -13,7 +13,7 @@
     using namespace std::chrono_literals;
 
     constexpr time_t idleSeconds = 1;
-    constexpr auto lostCallLasts = 5s; // Longer than the gateway waits for an answer of the store.
+    constexpr auto unansweredCallDuration = 5s; // Longer than the gateway waits for an answer of the store.
     constexpr size_t storeThreads = 64; // Each unanswered call occupies a thread.
     constexpr auto orderDelay = 1500ms; // Longer than the gateway waits for an order's answer.
 
@@ -46,7 +46,7 @@
 
 }
 
-StandinServer::StandinServer()
+FakeHttpServer::FakeHttpServer()
 {
     m_http.new_task_queue = [] { return new httplib::ThreadPool(24); };
     // When it stops, the server waits this long for each connection that a node keeps open.
@@ -54,9 +54,9 @@
     m_http.set_read_timeout(idleSeconds, 0);
 }
 
-StandinServer::~StandinServer() { stop(); }
+FakeHttpServer::~FakeHttpServer() { stop(); }
 
-void StandinServer::start()
+void FakeHttpServer::start()
 {
     m_port = m_http.bind_to_any_port("127.0.0.1");
     m_thread = std::thread([this] { m_http.listen_after_bind(); });
@@ -64,25 +64,25 @@
         std::this_thread::sleep_for(1ms);
 }
 
-void StandinServer::stop()
+void FakeHttpServer::stop()
 {
     m_http.stop();
     if (m_thread.joinable())
         m_thread.join();
 }
 
-void StandinStore::serveAt(httplib::Server& server)
+void FakeStore::registerHandlers(httplib::Server& server)
 {
     server.Post("/log-append", [this](const auto& request, auto& response) { append(request, response); });
     server.Get("/log-read", [this](const auto& request, auto& response) { read(request, response); });
     server.Get("/log-newest", [this](const auto& request, auto& response) { newest(request, response); });
 }
 
-StandinDoor::StandinDoor(StandinStore& store)
+FakeStoreEndpoint::FakeStoreEndpoint(FakeStore& store)
 {
-    store.serveAt(m_http);
+    store.registerHandlers(m_http);
     m_http.set_pre_routing_handler([this](const auto&, auto& response) {
-        if (!turnsAway)
+        if (!refusesCalls)
             return httplib::Server::HandlerResponse::Unhandled;
         response.status = 503;
         return httplib::Server::HandlerResponse::Handled;
@@ -90,13 +90,13 @@
     start();
 }
 
-StandinStore::StandinStore()
+FakeStore::FakeStore()
 {
     m_http.new_task_queue = [] { return new httplib::ThreadPool(storeThreads); };
-    serveAt(m_http);
+    registerHandlers(m_http);
     m_http.set_pre_routing_handler([this](const auto& request, auto& response) {
         if (isSilent) {
-            lose(request, response);
+            leaveUnanswered(request, response);
             return httplib::Server::HandlerResponse::Handled;
         }
         if (!isDown)
@@ -108,7 +108,7 @@
     start();
 }
 
-StandinStore::~StandinStore()
+FakeStore::~FakeStore()
 {
     {
         std::lock_guard lock(m_mutex);
@@ -118,34 +118,34 @@
     stop();
 }
 
-int StandinStore::lostReads(const std::string& topic)
+int FakeStore::unansweredReads(const std::string& topic)
 {
     std::lock_guard lock(m_mutex);
-    return m_lostReads[topic];
+    return m_unansweredReads[topic];
 }
 
-void StandinStore::lose(const httplib::Request& request, httplib::Response& response)
+void FakeStore::leaveUnanswered(const httplib::Request& request, httplib::Response& response)
 {
     std::unique_lock lock(m_mutex);
-    m_lostReads[request.get_param_value("topic")] += request.path == "/log-read" ? 1 : 0;
-    m_ending.wait_for(lock, lostCallLasts, [this] { return m_isEnding; });
+    m_unansweredReads[request.get_param_value("topic")] += request.path == "/log-read" ? 1 : 0;
+    m_ending.wait_for(lock, unansweredCallDuration, [this] { return m_isEnding; });
     response.status = 503;
     response.set_header("Connection", "close");
 }
 
-void StandinStore::put(const std::string& topic, const std::string& key, const std::string& value)
+void FakeStore::put(const std::string& topic, const std::string& key, const std::string& value)
 {
     std::lock_guard lock(m_mutex);
     m_topics[topic].push_back(static_cast<char>(key.size()) + key + value);
 }
 
-bool StandinStore::isReadToItsEnd(const std::string& topic)
+bool FakeStore::isFullyRead(const std::string& topic)
 {
     std::lock_guard lock(m_mutex);
     return m_readFrom[topic] >= m_topics[topic].size();
 }
 
-void StandinStore::append(const httplib::Request& request, httplib::Response& response)
+void FakeStore::append(const httplib::Request& request, httplib::Response& response)
 {
     {
         std::lock_guard lock(m_mutex);
@@ -157,20 +157,20 @@
         std::ranges::move(splitRecords(request.body), std::back_inserter(topic));
         writeJson(response, 200, { { "offset", offset }, { "endOffset", topic.size() } });
     }
-    if (answersToLose > 0) {
-        --answersToLose;
+    if (answersToDelay > 0) {
+        --answersToDelay;
         std::this_thread::sleep_for(1500ms);
     }
 }
 
-void StandinStore::read(const httplib::Request& request, httplib::Response& response)
+void FakeStore::read(const httplib::Request& request, httplib::Response& response)
 {
     size_t from = std::stoull(request.get_param_value("from"));
     auto until
         = std::chrono::steady_clock::now() + std::chrono::milliseconds(std::stoi(request.get_param_value("waitMs")));
     for (;; std::this_thread::sleep_for(5ms)) {
         if (isSilent)
-            return lose(request, response);
+            return leaveUnanswered(request, response);
         std::lock_guard lock(m_mutex);
         const Topic& topic = m_topics[request.get_param_value("topic")];
         m_readFrom[request.get_param_value("topic")] = from;
@@ -184,7 +184,7 @@
     }
 }
 
-void StandinStore::newest(const httplib::Request& request, httplib::Response& response)
+void FakeStore::newest(const httplib::Request& request, httplib::Response& response)
 {
     std::lock_guard lock(m_mutex);
     const Topic& topic = m_topics[request.get_param_value("topic")];
@@ -204,12 +204,12 @@
     writeJson(response, 200, { { "entries", list }, { "hasMore", false }, { "endOffset", topic.size() } });
 }
 
-StandinHost::StandinHost(StandinStore& store, Options options)
+FakeHost::FakeHost(FakeStore& store, Options options)
     : m_store(store)
     , m_options(std::move(options))
 {
     m_http.set_pre_routing_handler([this](const auto&, auto& response) {
-        if (!isLost)
+        if (!isFailing)
             return httplib::Server::HandlerResponse::Unhandled;
         response.status = 500;
         return httplib::Server::HandlerResponse::Handled;
@@ -222,19 +222,19 @@
     announce();
 }
 
-StandinHost::~StandinHost()
+FakeHost::~FakeHost()
 {
-    standsStill = false;
+    isStalled = false;
     stop();
 }
 
-void StandinHost::announce() { m_store.put("keyed.servers", m_options.id, report(true).dump()); }
+void FakeHost::announce() { m_store.put("keyed.servers", m_options.id, report(true).dump()); }
 
-void StandinHost::startAgain()
+void FakeHost::restart()
 {
     {
         std::lock_guard lock(m_mutex);
-        m_born += 1000;
+        m_startTime += 1000;
         m_ordersAccepted = m_heartbeats = m_rank = 0;
         m_fencing = m_epoch = 0;
         m_replica.clear();
@@ -244,25 +244,25 @@
     announce();
 }
 
-void StandinHost::lapse() { m_store.put("keyed.servers", m_options.id, ""); }
+void FakeHost::removeEntry() { m_store.put("keyed.servers", m_options.id, ""); }
 
-bool StandinHost::isMember()
+bool FakeHost::isMember()
 {
     std::lock_guard lock(m_mutex);
     return !m_state.empty();
 }
 
-bool StandinHost::isOpenHead()
+bool FakeHost::isOpenHead()
 {
     std::lock_guard lock(m_mutex);
     return m_rank == 0 && m_state == "open";
 }
 
-json StandinHost::report(bool forList)
+json FakeHost::report(bool forList)
 {
     std::lock_guard lock(m_mutex);
     json result { { "modelList", json::array() }, { "preloaded", json::array() }, { "group", nullptr },
-        { "born", m_born }, { "faultDomain", m_options.domain },
+        { "born", m_startTime }, { "faultDomain", m_options.domain },
         { "sequence", forList ? ++m_heartbeats : m_ordersAccepted } };
     if (!m_staged.empty())
         result["preloaded"].push_back(m_staged);
@@ -282,17 +282,17 @@
     return result;
 }
 
-void StandinHost::order(const httplib::Request& request, httplib::Response& response)
+void FakeHost::order(const httplib::Request& request, httplib::Response& response)
 {
     if (ordersToDelay <= 0)
-        return obey(request, response);
+        return executeOrder(request, response);
     --ordersToDelay;
     std::this_thread::sleep_for(orderDelay);
-    obey(request, response);
+    executeOrder(request, response);
     ++delayedOrders;
 }
 
-void StandinHost::obey(const httplib::Request& request, httplib::Response& response)
+void FakeHost::executeOrder(const httplib::Request& request, httplib::Response& response)
 {
     json body = json::parse(request.body);
     {
@@ -332,36 +332,36 @@
     writeJson(response, 202, {});
 }
 
-std::vector<StandinHost::Arrival> StandinHost::arrivals()
+std::vector<FakeHost::Arrival> FakeHost::arrivals()
 {
     std::lock_guard lock(m_mutex);
     return m_arrivals;
 }
 
-void StandinHost::speakOfItself(const httplib::Request& request, httplib::Response& response)
+void FakeHost::addNotices(const httplib::Request& request, httplib::Response& response)
 {
     std::string callId = request.get_header_value("Attempt-Id");
-    Arrival arrival { std::chrono::steady_clock::now(), callId.substr(0, callId.rfind('-')), namedLimit,
-        isFull ? backoffAsked.load() : 0, saysDraining };
-    if (arrival.saidDraining)
+    Arrival arrival { std::chrono::steady_clock::now(), callId.substr(0, callId.rfind('-')), announcedLimit,
+        refusesRequests ? requestedBackoff.load() : 0, announcesDraining };
+    if (arrival.announcedDraining)
         response.set_header("Server-Leaving", "1");
-    if (arrival.namedLimit >= 0)
-        response.set_header("Server-Limit", std::to_string(arrival.namedLimit));
-    if (arrival.backoffAsked > 0)
-        response.set_header("Retry-After", std::to_string(arrival.backoffAsked));
+    if (arrival.announcedLimit >= 0)
+        response.set_header("Server-Limit", std::to_string(arrival.announcedLimit));
+    if (arrival.requestedBackoff > 0)
+        response.set_header("Retry-After", std::to_string(arrival.requestedBackoff));
     std::lock_guard lock(m_mutex);
     m_arrivals.push_back(std::move(arrival));
 }
 
-void StandinHost::serve(const httplib::Request& request, httplib::Response& response)
+void FakeHost::serve(const httplib::Request& request, httplib::Response& response)
 {
     response.set_header("Attempt-Id", request.get_header_value("Attempt-Id"));
-    bool isMeant = request.get_header_value("Target-Instance") == m_options.id;
-    bool isTaking = m_options.isPlain || isOpenHead();
-    if (isMeant && isTaking)
-        speakOfItself(request, response);
-    if (!isMeant || !isTaking || isFull) {
-        response.status = isMeant && isFull ? 503 : 421;
+    bool isTarget = request.get_header_value("Target-Instance") == m_options.id;
+    bool isServing = m_options.isPlain || isOpenHead();
+    if (isTarget && isServing)
+        addNotices(request, response);
+    if (!isTarget || !isServing || refusesRequests) {
+        response.status = isTarget && refusesRequests ? 503 : 421;
         response.set_header("Not-Executed", "1");
         return;
     }
@@ -369,7 +369,7 @@
     response.set_header("Response-Seal", "seal-" + m_options.id);
     if (!m_options.isPlain)
         return stream(request, response);
-    if (losesAnswers) {
+    if (truncatesAnswers) {
         // Closes the connection in the middle of the answer.
         response.set_content_provider(1000, "text/plain", [](size_t, size_t, httplib::DataSink&) { return false; });
         return;
@@ -379,14 +379,14 @@
     response.set_header("Seen-Key", request.get_header_value("Key"));
 }
 
-void StandinHost::stream(const httplib::Request& request, httplib::Response& response)
+void FakeHost::stream(const httplib::Request& request, httplib::Response& response)
 {
     int first = request.has_header("Last-Event-Id") ? std::stoi(request.get_header_value("Last-Event-Id")) + 1 : 1;
     response.set_chunked_content_provider(
         "text/event-stream", [this, next = first](size_t, httplib::DataSink& sink) mutable {
             std::this_thread::sleep_for(30ms);
-            if (standsStill)
-                return sink.is_writable() || (++cutOff, false);
+            if (isStalled)
+                return sink.is_writable() || (++abortedStreams, false);
             if (next > eventsPerStream) {
                 sink.done();
                 return true;
@@ -394,7 +394,7 @@
             std::string event = "id: " + std::to_string(next) + "\ndata: piece\n\n";
             ++next;
             ++eventsSent;
-            return sink.write(event.data(), event.size()) || (++cutOff, false);
+            return sink.write(event.data(), event.size()) || (++abortedStreams, false);
         });
 }
 
