--- a/tests/base/settings_test.cpp
+++ b/tests/base/settings_test.cpp
@@ -57,7 +57,7 @@
 
 }
 
-TEST(Settings, FlagsGoBeforeVariablesAndVariablesBeforeDefaults)
+TEST(Settings, FlagsOverrideVariablesAndVariablesOverrideDefaults)
 {
     Values values;
     auto exit = parse(values,
@@ -75,7 +75,7 @@
     EXPECT_EQ(values.file, "f");
 }
 
-TEST(Settings, NamesEveryFaultAtOnce)
+TEST(Settings, ReportsEveryFaultAtOnce)
 {
     Values values;
     auto exit = parse(values,
@@ -94,14 +94,14 @@
         "program: --worker-threads: '0' is not a whole number of threads from 1 to 100\n"
         "program: --worker-threads: '200' is not a whole number of threads from 1 to 100\n"
         "program: --listen or KUMQUATPICK_LISTEN: required; An address.\n"
-        "program: KUMQUATPICK_NODE: '127.0.0.1:2,localhost:3' is not IP numbers with ports, separated by commas, such "
+        "program: KUMQUATPICK_NODE: '127.0.0.1:2,localhost:3' is not numeric IP:port pairs, separated by commas, such "
         "as 127.0.0.1:7100,127.0.0.1:7200\n"
         "program: KUMQUATPICK_LOG_LEVEL: 'loud' is not one of debug, info, warning, error\n"
         "See program --help.\n");
     EXPECT_TRUE(values.json);
 }
 
-TEST(Settings, HelpAndVersionGoBeforeFaults)
+TEST(Settings, HelpAndVersionTakePrecedenceOverFaults)
 {
     Values values;
     auto help = parse(values, { "--colour", "blue", "-h" });
@@ -116,8 +116,8 @@
     EXPECT_EQ(version->text, "program " KUMQUATPICK_VERSION "\n");
 }
 
-// An unset shell variable in quotes, say.
-TEST(Settings, AnEmptyArgumentIsNoFile)
+// A quoted shell variable that is unset gives an empty argument.
+TEST(Settings, RejectsAnEmptyPositionalArgument)
 {
     Values values;
     auto exit = parse(values, { "--listen=127.0.0.1:1", "" });
@@ -125,8 +125,8 @@
     EXPECT_NE(exit->text.find("unknown argument ''"), std::string::npos) << exit->text;
 }
 
-// Whatever the arguments, the outcome is either usable values or an exit; nothing is thrown and no stray passes.
-RC_GTEST_PROP(SettingsProperty, AnyArgumentsGetAVerdict, ())
+// Any arguments give either usable values or an exit; nothing is thrown and no stray argument is accepted.
+RC_GTEST_PROP(SettingsProperty, AnyArgumentsGiveValuesOrAnExit, ())
 {
     const std::vector<std::string> pieces { "", "-", "--", "-h", "-hx", "-xh", "--help", "--version", "--json",
         "--json=1", "--json=true", "--colour", "--colour=", "--colour=green", "red", "--listen=127.0.0.1:1", "--node",
--- a/tests/platform/deskcaller.h
+++ b/tests/platform/callerthread.h
@@ -10,10 +10,10 @@
 
 namespace Kumquatpick {
 
-// A caller of one node that sends one request after the other, over one connection while that is open.
-class DeskCaller {
+// Sends requests to one node one after the other, over the same connection while that is open.
+class CallerThread {
 public:
-    DeskCaller(const Address& node, std::string path, httplib::Headers headers, Milliseconds pause)
+    CallerThread(const Address& node, std::string path, httplib::Headers headers, Milliseconds pause)
         : m_thread([this, node, path = std::move(path), headers = std::move(headers), pause]() mutable {
             httplib::Client client("127.0.0.1", node.port);
             client.set_keep_alive(true);
@@ -28,17 +28,17 @@
         })
     {
     }
-    ~DeskCaller()
+    ~CallerThread()
     {
         m_isEnding = true;
         m_thread.join();
     }
-    DeskCaller(const DeskCaller&) = delete;
-    DeskCaller& operator=(const DeskCaller&) = delete;
+    CallerThread(const CallerThread&) = delete;
+    CallerThread& operator=(const CallerThread&) = delete;
 
     int sent() const { return m_sent; }
     int served() const { return m_served; }
-    int unanswered() const { return m_unanswered; } // Without a whole answer of any kind.
+    int unanswered() const { return m_unanswered; } // No complete answer of any status.
 
 private:
     std::atomic<bool> m_isEnding { false };
