--- a/src/fleet/balancer.cpp
+++ b/src/fleet/balancer.cpp
@@ -9,34 +9,34 @@
 
     // A pass of the engine writes several tokens and may read a piece of a prompt in between; a stop of several
     // usual gaps is none of these.
-    constexpr double stillGaps = 5;
-    constexpr double shortestStillMs = 250;
-    constexpr double longestStillMs = 1200;
+    constexpr double stallGaps = 5;
+    constexpr double minStallMs = 250;
+    constexpr double maxStallMs = 1200;
     // Before the usual gap is known.
-    constexpr double firstStillMs = 600;
-    constexpr double gapGain = 0.1;
+    constexpr double initialStallMs = 600;
+    constexpr double gapSmoothing = 0.1;
     // Events of one pass arrive together; only what is further apart tells how long a pass takes.
-    constexpr double samePassMs = 8;
+    constexpr double sameStepMs = 8;
 
     // A replica with a lost member never goes on by itself; its controller is told and takes it apart meanwhile.
-    constexpr Milliseconds avoidStalled { 1500 };
-    constexpr Milliseconds avoidFailed { 400 };
-    constexpr double mostFailures = 6;
+    constexpr Milliseconds stalledAvoidance { 1500 };
+    constexpr Milliseconds failedAvoidance { 400 };
+    constexpr double maxFailures = 6;
     // A target that refused as full has a queue of several seconds; each further refusal in a row doubles the time.
     // Kept in the choice as if it were empty, since what the others have there is old, single replicas drew up to 400
     // refusals in half a minute.
-    constexpr Milliseconds avoidFull { 150 };
-    constexpr int mostDoublings = 3;
-    constexpr double failureFade = 0.5; // A success halves what is held against a target.
+    constexpr Milliseconds fullAvoidance { 150 };
+    constexpr int maxDoublings = 3;
+    constexpr double failureDecay = 0.5; // A success halves what is held against a target.
 
     // Bytes between zones cost, but a tenth of a target's load is worth more than the way.
-    constexpr double otherZoneLoad = 0.08;
+    constexpr double remoteZonePenalty = 0.08;
     // Two random choices, as the best of all would be every node's at once, and of these the emptier one more often
     // rather than always: what the others have there is old. Always the emptier, counts of 0.3 to 0.5 s sent 5.1 to 9.1
     // of 100 calls to a replica without a free place; by the square of what is free, 3.5 to 6.0 (simulated, 75
     // replicas, two thirds full, 95 nodes).
     constexpr size_t sampledTargets = 2;
-    constexpr double leastFree = 0.05; // Of a target's places: a full one is still chosen now and then.
+    constexpr double minFreeShare = 0.05; // Of a target's places: a full one is still chosen now and then.
 
 }
 
@@ -48,13 +48,13 @@
 void Balancer::setTargets(std::vector<ServingTarget> targets)
 {
     std::map<std::string, Target, std::less<>> next;
-    for (ServingTarget& what : targets) {
-        std::string id = what.hostId;
+    for (ServingTarget& serving : targets) {
+        std::string id = serving.hostId;
         auto known = m_targets.find(id);
         Target target = known == m_targets.end() ? Target {} : std::move(known->second);
-        target.what = std::move(what);
-        auto others = m_othersInFlight.find(id);
-        target.others = others == m_othersInFlight.end() ? 0 : others->second;
+        target.what = std::move(serving);
+        auto remote = m_othersInFlight.find(id);
+        target.others = remote == m_othersInFlight.end() ? 0 : remote->second;
         next.emplace(std::move(id), std::move(target));
     }
     // Requests still in flight at a target that left are counted until they end.
@@ -71,16 +71,16 @@
 {
     m_othersInFlight = std::move(inFlight);
     for (auto& [id, target] : m_targets) {
-        auto others = m_othersInFlight.find(id);
-        target.others = others == m_othersInFlight.end() ? 0 : others->second;
+        auto remote = m_othersInFlight.find(id);
+        target.others = remote == m_othersInFlight.end() ? 0 : remote->second;
     }
 }
 
 double Balancer::expectedLoad(const Target& target) const
 {
     double load = (target.own + target.others + 1.0) / target.what.capacity;
-    double zone = target.what.zone == m_zone ? 0 : otherZoneLoad;
-    return load + zone + target.failures;
+    double zonePenalty = target.what.zone == m_zone ? 0 : remoteZonePenalty;
+    return load + zonePenalty + target.failures;
 }
 
 bool Balancer::isUsable(const Target& target, const ChoiceRequest& request, MonotonicTime now) const
@@ -111,7 +111,7 @@
     std::vector<double> weights;
     double total = 0;
     for (const Target* target : usable) {
-        double free = std::max(leastFree, 1 + 1.0 / target->what.capacity - expectedLoad(*target));
+        double free = std::max(minFreeShare, 1 + 1.0 / target->what.capacity - expectedLoad(*target));
         weights.push_back(free * free);
         total += free * free;
     }
@@ -158,8 +158,8 @@
         return;
     Target& target = found->second;
     double gap = std::chrono::duration<double, std::milli>(now - target.lastArrival).count();
-    if (target.writing > 0 && gap > samePassMs)
-        target.gapMs += gapGain * (gap - target.gapMs);
+    if (target.writing > 0 && gap > sameStepMs)
+        target.gapMs += gapSmoothing * (gap - target.gapMs);
     target.lastArrival = now;
 }
 
@@ -185,21 +185,21 @@
     target.own -= std::min(1u, target.own);
     switch (end) {
     case SendEnd::Finished:
-        target.failures *= failureFade;
+        target.failures *= failureDecay;
         target.refusals = 0;
         break;
     case SendEnd::Failed:
-        target.failures = std::min(mostFailures, target.failures + 1);
+        target.failures = std::min(maxFailures, target.failures + 1);
         target.avoidUntil
-            = std::max(target.avoidUntil, now + avoidFailed * static_cast<int>(std::ceil(target.failures)));
+            = std::max(target.avoidUntil, now + failedAvoidance * static_cast<int>(std::ceil(target.failures)));
         break;
     case SendEnd::NotTaken:
-        target.fullUntil = now + avoidFull * (1 << std::min(target.refusals++, mostDoublings));
+        target.fullUntil = now + fullAvoidance * (1 << std::min(target.refusals++, maxDoublings));
         break;
     case SendEnd::Stalled:
     case SendEnd::Unreachable:
     case SendEnd::NotServing:
-        target.avoidUntil = std::max(target.avoidUntil, now + avoidStalled);
+        target.avoidUntil = std::max(target.avoidUntil, now + stalledAvoidance);
         break;
     case SendEnd::Withdrawn:
         break;
@@ -225,8 +225,7 @@
     for (const auto& [id, target] : m_targets) {
         if (target.writing == 0 || target.what.model.empty())
             continue;
-        double limit
-            = target.gapMs > 0 ? std::clamp(stillGaps * target.gapMs, shortestStillMs, longestStillMs) : firstStillMs;
+        double limit = target.gapMs > 0 ? std::clamp(stallGaps * target.gapMs, minStallMs, maxStallMs) : initialStallMs;
         // One stream alone may have lost its place to others; with two, both would have to.
         if (target.writing == 1)
             limit *= 2;
--- a/src/fleet/configcatchup.cpp
+++ b/src/fleet/configcatchup.cpp
@@ -7,11 +7,11 @@
 namespace {
 
     // A reader that waits at the store has the text within a few of its answers; peers hear of it as soon.
-    constexpr Milliseconds storeFirst { 300 };
+    constexpr Milliseconds storeGracePeriod { 300 };
     // Configurations may follow each other within 60 ms; one ask brings all of them.
-    constexpr Milliseconds betweenAsks { 400 };
+    constexpr Milliseconds minFetchInterval { 400 };
     // Of the last digest: a peer that fell silent is not asked.
-    constexpr Milliseconds holderLasts { 1500 };
+    constexpr Milliseconds holderLifetime { 1500 };
 
 }
 
@@ -29,9 +29,9 @@
 // show nothing: they would put off the ask for as long as changes follow each other.
 void ConfigCatchUp::noteOwn(uint64_t version, MonotonicTime now)
 {
-    bool hasCome = m_own > 0 && version > m_own;
+    bool hasAdvanced = m_own > 0 && version > m_own;
     m_own = version;
-    if (hasCome && version < m_newest)
+    if (hasAdvanced && version < m_newest)
         m_behindSince = now;
 }
 
@@ -39,20 +39,20 @@
     uint64_t ownVersion, bool waitsForStore, MonotonicTime now, Random& random)
 {
     noteOwn(ownVersion, now);
-    std::erase_if(m_holders, [&](const auto& entry) { return now - entry.second.heardAt > holderLasts; });
-    bool isTooSoon = m_askedAt && now - *m_askedAt < betweenAsks;
-    bool hadStoreTime = !waitsForStore || now - m_behindSince >= storeFirst;
+    std::erase_if(m_holders, [&](const auto& entry) { return now - entry.second.heardAt > holderLifetime; });
+    bool isTooSoon = m_askedAt && now - *m_askedAt < minFetchInterval;
+    bool hadStoreTime = !waitsForStore || now - m_behindSince >= storeGracePeriod;
     if (m_isAsking || isTooSoon || !hadStoreTime || ownVersion >= m_newest)
         return std::nullopt;
-    std::vector<std::string_view> near;
-    std::vector<std::string_view> far;
+    std::vector<std::string_view> sameZone;
+    std::vector<std::string_view> otherZones;
     for (const auto& [peer, holder] : m_holders) {
         // The one that just failed to bring it is asked again only if it is the only one.
-        bool isAgain = peer == m_lastAsked && m_holders.size() > 1;
-        if (holder.version > ownVersion && !isAgain)
-            (holder.isOfOwnZone ? near : far).push_back(peer);
+        bool isRepeat = peer == m_lastAsked && m_holders.size() > 1;
+        if (holder.version > ownVersion && !isRepeat)
+            (holder.isOfOwnZone ? sameZone : otherZones).push_back(peer);
     }
-    const auto& choice = near.empty() ? far : near;
+    const auto& choice = sameZone.empty() ? otherZones : sameZone;
     if (choice.empty())
         return std::nullopt;
     m_lastAsked = choice[random() % choice.size()];
--- a/src/fleet/hosttable.cpp
+++ b/src/fleet/hosttable.cpp
@@ -8,10 +8,10 @@
 
     // The list shows a change within its own lag of up to 0.8 s, and it is read every 0.4 s.
     constexpr Milliseconds listLag { 1300 };
-    constexpr Milliseconds reportLasts { 2500 };
+    constexpr Milliseconds reportLifetime { 2500 };
     // A member that lost its way to the store is dropped from the list after three heartbeats, and serves on in its
     // replica. Whoever controls the replica asks it meanwhile; this is how long a partition usually lasts.
-    constexpr std::chrono::seconds lapsedKept { 15 };
+    constexpr std::chrono::seconds unlistedRetention { 15 };
 
     uint64_t epochOf(const HostStatus& status) { return status.membership ? status.membership->epoch : 0; }
 
@@ -32,25 +32,25 @@
     if (!isKnown && !dropEarlierLife(host))
         return false;
     Sources& sources = m_sources[host.id];
-    bool isNews = !isKnown || !(sources.listed == host);
-    if (isNews)
+    bool isChanged = !isKnown || !(sources.listed == host);
+    if (isChanged)
         sources.listed = host;
     // Within one life epochs only grow, so an earlier one is from before the report whatever its time.
-    bool isOutrun = sources.reported
+    bool isReportNewer = sources.reported
         && (at < sources.reportedAt + listLag
             || (host.status.membership && epochOf(host.status) < epochOf(*sources.reported)));
-    if (isOutrun)
+    if (isReportNewer)
         host.status = *sources.reported;
     else
         sources.reported.reset();
     keepLastModel(sources, host.status);
     host.draining = host.draining || m_saidDraining.contains(host.id);
-    Host& counts = m_hosts[host.id];
-    if (!(counts == host)) {
-        counts = std::move(host);
+    Host& effective = m_hosts[host.id];
+    if (!(effective == host)) {
+        effective = std::move(host);
         ++m_version;
     }
-    return isNews;
+    return isChanged;
 }
 
 // A host names its model only while it is a member.
@@ -139,22 +139,23 @@
 // It counts for the replica that it was a member of, and for nothing else until it is listed again.
 void HostTable::reportedAfterLapse(std::string_view id, const HostStatus& status)
 {
-    auto lapsed = m_lapsed.find(id);
-    if (lapsed == m_lapsed.end())
+    auto unlisted = m_lapsed.find(id);
+    if (unlisted == m_lapsed.end())
         return;
-    const Membership& membership = *lapsed->second.host.status.membership;
+    const Membership& membership = *unlisted->second.host.status.membership;
     if (status.membership && status.membership->isOf(membership.replica, membership.epoch))
         return;
-    m_lapsed.erase(lapsed);
+    m_lapsed.erase(unlisted);
     ++m_version;
 }
 
 void HostTable::expireReports(MonotonicTime now)
 {
-    size_t outlived = std::erase_if(m_lapsed, [&](const auto& entry) { return now - entry.second.at > lapsedKept; });
-    m_version += outlived > 0 ? 1 : 0;
+    size_t expired
+        = std::erase_if(m_lapsed, [&](const auto& entry) { return now - entry.second.at > unlistedRetention; });
+    m_version += expired > 0 ? 1 : 0;
     for (auto& [id, sources] : m_sources) {
-        bool isDue = sources.reported && now - sources.reportedAt > reportLasts && m_listReadAt > sources.reportedAt
+        bool isDue = sources.reported && now - sources.reportedAt > reportLifetime && m_listReadAt > sources.reportedAt
             && (!sources.listed.status.membership || epochOf(sources.listed.status) >= epochOf(*sources.reported));
         if (!isDue)
             continue;
@@ -218,11 +219,11 @@
         if (membership.rank == 0)
             view.head = &host;
     }
-    for (const auto& [id, lapsed] : m_lapsed) {
-        const Membership& membership = *lapsed.host.status.membership;
+    for (const auto& [id, unlisted] : m_lapsed) {
+        const Membership& membership = *unlisted.host.status.membership;
         auto view = views.find({ membership.replica, membership.epoch });
         if (view != views.end())
-            view->second.lapsed.push_back(&lapsed.host);
+            view->second.lapsed.push_back(&unlisted.host);
     }
     std::vector<ReplicaView> result;
     result.reserve(views.size());
--- a/src/fleet/listreaders.cpp
+++ b/src/fleet/listreaders.cpp
@@ -9,11 +9,11 @@
     // Of each zone: while one fails, the other goes on.
     constexpr size_t readersPerZone = 2;
     constexpr const char* duty = "read-hosts";
-    constexpr Milliseconds askAgainAfter { 2000 };
+    constexpr Milliseconds retryDelay { 2000 };
     // Some rounds of questions; and a leaving host may get work for two seconds.
-    constexpr Milliseconds readStoreAfter { 1000 };
+    constexpr Milliseconds storeReadDelay { 1000 };
     // What readers need to list some thousand hosts from a store that a whole fleet has just turned to.
-    constexpr Milliseconds readersNeed { 6000 };
+    constexpr Milliseconds readerGracePeriod { 6000 };
 
 }
 
@@ -25,7 +25,7 @@
 bool ListReaders::hasFailed(std::string_view node, MonotonicTime now) const
 {
     auto failed = m_failedAt.find(node);
-    return failed != m_failedAt.end() && now - failed->second < askAgainAfter;
+    return failed != m_failedAt.end() && now - failed->second < retryDelay;
 }
 
 std::vector<std::string> ListReaders::readersOf(std::span<const DutyNode> zone, MonotonicTime now) const
@@ -45,14 +45,14 @@
 
 void ListReaders::failed(std::string_view node, MonotonicTime now)
 {
-    std::erase_if(m_failedAt, [&](const auto& entry) { return now - entry.second >= askAgainAfter; });
+    std::erase_if(m_failedAt, [&](const auto& entry) { return now - entry.second >= retryDelay; });
     m_failedAt.insert_or_assign(std::string(node), now);
 }
 
 bool ListReaders::mayReadStore(bool didAnyAnswer, MonotonicTime now)
 {
     m_missedSince = m_missedSince.value_or(now);
-    return now - *m_missedSince >= (didAnyAnswer ? readersNeed : readStoreAfter);
+    return now - *m_missedSince >= (didAnyAnswer ? readerGracePeriod : storeReadDelay);
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/loadboard.cpp
+++ b/src/fleet/loadboard.cpp
@@ -7,13 +7,13 @@
 namespace {
 
     // Ten rounds of an exchange: one answer that is late changes nothing.
-    constexpr Milliseconds toldLasts { 1000 };
+    constexpr Milliseconds reportLifetime { 1000 };
 
 }
 
 void LoadBoard::nodeTold(std::string_view node, LoadsByHost loads, MonotonicTime now)
 {
-    std::erase_if(m_nodes, [&](const auto& entry) { return now - entry.second.at > toldLasts; });
+    std::erase_if(m_nodes, [&](const auto& entry) { return now - entry.second.at > reportLifetime; });
     m_nodes.insert_or_assign(std::string(node), Told { std::move(loads), now });
 }
 
@@ -24,7 +24,7 @@
 
 bool LoadBoard::isUsed(MonotonicTime now) const
 {
-    return std::ranges::any_of(m_nodes, [&](const auto& entry) { return now - entry.second.at <= toldLasts; });
+    return std::ranges::any_of(m_nodes, [&](const auto& entry) { return now - entry.second.at <= reportLifetime; });
 }
 
 bool LoadBoard::heardOfZone(std::string_view zone, Milliseconds within, MonotonicTime now) const
@@ -33,12 +33,12 @@
     return found != m_zones.end() && now - found->second.at < within;
 }
 
-void LoadBoard::addUp(const ToldBy& toldBy, std::string_view except, MonotonicTime now, LoadsByHost& total)
+void LoadBoard::addUp(const ToldBy& reports, std::string_view except, MonotonicTime now, LoadsByHost& total)
 {
-    for (const auto& [name, told] : toldBy) {
-        if (name == except || now - told.at > toldLasts)
+    for (const auto& [name, report] : reports) {
+        if (name == except || now - report.at > reportLifetime)
             continue;
-        for (const auto& [host, count] : told.loads)
+        for (const auto& [host, count] : report.loads)
             total[host] += count;
     }
 }
--- a/src/fleet/logreads.cpp
+++ b/src/fleet/logreads.cpp
@@ -9,26 +9,26 @@
     // A few of the store's usual answers, also when it is slow.
     constexpr Milliseconds answerTimeout { 700 };
     // What the read after a lost one takes, from a slow store.
-    constexpr Milliseconds slowAnswer { 200 };
+    constexpr Milliseconds slowAnswerTime { 200 };
     // Of the time that news may take; the rest is for handing them on to nodes that do not read the store.
     constexpr double readersShare = 0.75;
-    constexpr Milliseconds shortestHold { 100 };
-    constexpr Milliseconds firstPause { 100 };
-    constexpr Milliseconds usualLongestPause { 800 };
-    constexpr int mostDoublings = 4;
-    constexpr Milliseconds longestPage { 3000 };
+    constexpr Milliseconds minWait { 100 };
+    constexpr Milliseconds initialPause { 100 };
+    constexpr Milliseconds defaultMaxPause { 800 };
+    constexpr int maxDoublings = 4;
+    constexpr Milliseconds maxPageTimeout { 3000 };
 
 }
 
-LogReads::LogReads(Milliseconds longestHold)
-    : LogReads(longestHold, usualLongestPause, longestPage)
+LogReads::LogReads(Milliseconds maxWait)
+    : LogReads(maxWait, defaultMaxPause, maxPageTimeout)
 {
 }
 
-LogReads::LogReads(Milliseconds longestHold, Milliseconds longestPause, Milliseconds longestListing)
-    : m_longestHold(longestHold)
-    , m_longestPause(longestPause)
-    , m_longestListing(longestListing)
+LogReads::LogReads(Milliseconds maxWait, Milliseconds maxPause, Milliseconds maxListingTimeout)
+    : m_longestHold(maxWait)
+    , m_longestPause(maxPause)
+    , m_longestListing(maxListingTimeout)
 {
 }
 
@@ -36,26 +36,26 @@
 // then comes one that is answered.
 LogReads LogReads::forNewsWithin(Milliseconds within)
 {
-    auto forReaders = std::chrono::duration_cast<Milliseconds>(within * readersShare);
-    Milliseconds spare = std::max(shortestHold, forReaders - answerTimeout - firstPause - slowAnswer);
-    return { spare, std::min(usualLongestPause, spare), answerTimeout };
+    auto readerBudget = std::chrono::duration_cast<Milliseconds>(within * readersShare);
+    Milliseconds affordableWait = std::max(minWait, readerBudget - answerTimeout - initialPause - slowAnswerTime);
+    return { affordableWait, std::min(defaultMaxPause, affordableWait), answerTimeout };
 }
 
 ReadTerms LogReads::next() const
 {
-    Milliseconds hold = m_failures == 0 ? m_longestHold : Milliseconds(0);
-    return { hold, hold + answerTimeout };
+    Milliseconds maxWait = m_failures == 0 ? m_longestHold : Milliseconds(0);
+    return { maxWait, maxWait + answerTimeout };
 }
 
 Milliseconds LogReads::listingPatience() const
 {
-    return std::min(m_longestListing, answerTimeout * (1 << std::min(m_failures, mostDoublings)));
+    return std::min(m_longestListing, answerTimeout * (1 << std::min(m_failures, maxDoublings)));
 }
 
 Milliseconds LogReads::failed(double draw)
 {
-    auto longest = std::min(m_longestPause, firstPause * (1 << std::min(m_failures++, mostDoublings)));
-    return std::chrono::duration_cast<Milliseconds>(longest * (0.5 + 0.5 * draw));
+    auto pause = std::min(m_longestPause, initialPause * (1 << std::min(m_failures++, maxDoublings)));
+    return std::chrono::duration_cast<Milliseconds>(pause * (0.5 + 0.5 * draw));
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/ratelimits.cpp
+++ b/src/fleet/ratelimits.cpp
@@ -12,38 +12,38 @@
 namespace {
 
     // Over which a server's limit is kept.
-    constexpr Milliseconds span { 4000 };
+    constexpr Milliseconds limitWindow { 4000 };
     constexpr Milliseconds bucketLength { 500 };
     // Nodes that share a limit: these, and one for each request a second. Each may save up one request, so more nodes
     // could together send too many at once; fewer would leave the limit unused while one of them has no calls.
-    constexpr double fewestSharers = 2;
+    constexpr double minSharers = 2;
     // What a node may save up of a high limit.
-    constexpr Milliseconds savedUp { 500 };
+    constexpr Milliseconds maxBurstTime { 500 };
     // Rounds enough for all nodes to hear it from each other.
-    constexpr Milliseconds tellFor { 3000 };
-    constexpr size_t mostTold = 64;
+    constexpr Milliseconds gossipDuration { 3000 };
+    constexpr size_t maxGossipedLimits = 64;
     // Longer than it is told, so that no older word comes back after it.
-    constexpr Milliseconds liftedKept { 10'000 };
+    constexpr Milliseconds liftedRetention { 10'000 };
     // A limit that nobody heard again is given up: the nodes that it was dealt to may have no calls for the server.
-    constexpr Milliseconds unheardKept { 30'000 };
+    constexpr Milliseconds staleRetention { 30'000 };
 
     int64_t bucketOf(MonotonicTime at) { return at.time_since_epoch() / bucketLength; }
 
-    size_t sharersOf(double perSecond, size_t nodes)
+    size_t sharerCount(double perSecond, size_t nodes)
     {
-        return static_cast<size_t>(std::min(static_cast<double>(nodes), fewestSharers + std::floor(perSecond)));
+        return static_cast<size_t>(std::min(static_cast<double>(nodes), minSharers + std::floor(perSecond)));
     }
 
-    double mostTokens(double share) { return std::max(1.0, share * toSeconds(savedUp)); }
+    double maxTokens(double share) { return std::max(1.0, share * toSeconds(maxBurstTime)); }
 
     // What a server got from all nodes before they knew of its limit is owed by those that share it, though none of
     // them for longer than the limit looks back.
-    double tokensAtFirst(double sentLately, size_t nodes, size_t sharers, double share)
+    double initialTokens(double recentSends, size_t nodes, size_t sharers, double share)
     {
-        double sentByAll = sentLately * static_cast<double>(nodes) / static_cast<double>(sharers);
-        double owed = sentByAll - share * toSeconds(span);
-        double mostOwed = std::max(0.0, share * toSeconds(span) - 1);
-        return -std::clamp(owed, 0.0, mostOwed);
+        double sentByAll = recentSends * static_cast<double>(nodes) / static_cast<double>(sharers);
+        double owed = sentByAll - share * toSeconds(limitWindow);
+        double maxOwed = std::max(0.0, share * toSeconds(limitWindow) - 1);
+        return -std::clamp(owed, 0.0, maxOwed);
     }
 
 }
@@ -59,12 +59,12 @@
 double RateLimits::tokensAt(const Limit& limit, MonotonicTime now)
 {
     double filled = limit.tokens + limit.share * std::max(0.0, toSeconds(now - limit.filledAt));
-    return std::min(filled, mostTokens(limit.share));
+    return std::min(filled, maxTokens(limit.share));
 }
 
-bool RateLimits::take(Limit& limit, std::optional<double> perSecond, MonotonicTime saidAt)
+bool RateLimits::take(Limit& limit, std::optional<double> perSecond, MonotonicTime reportedAt)
 {
-    limit.saidAt = std::max(limit.saidAt, saidAt);
+    limit.saidAt = std::max(limit.saidAt, reportedAt);
     if (limit.perSecond == perSecond)
         return false;
     bool isStillLimited = limit.perSecond && perSecond && *limit.perSecond > 0;
@@ -91,27 +91,27 @@
     return isLifted && take(found->second, std::nullopt, sentAt);
 }
 
-bool RateLimits::told(const NamedLimit& told, MonotonicTime now)
+bool RateLimits::told(const NamedLimit& remote, MonotonicTime now)
 {
-    MonotonicTime saidAt = now - told.age;
-    auto found = m_limits.find(told.hostId);
+    MonotonicTime reportedAt = now - remote.age;
+    auto found = m_limits.find(remote.hostId);
     if (found == m_limits.end()) {
-        if (!told.perSecond || told.age > unheardKept)
+        if (!remote.perSecond || remote.age > staleRetention)
             return false;
-        found = m_limits.try_emplace(told.hostId).first;
+        found = m_limits.try_emplace(remote.hostId).first;
     }
-    return saidAt > found->second.saidAt && take(found->second, told.perSecond, saidAt);
+    return reportedAt > found->second.saidAt && take(found->second, remote.perSecond, reportedAt);
 }
 
 std::vector<NamedLimit> RateLimits::news(MonotonicTime now) const
 {
     std::vector<NamedLimit> result;
     for (const auto& [hostId, limit] : m_limits) {
-        if (now - limit.saidAt <= tellFor)
+        if (now - limit.saidAt <= gossipDuration)
             result.push_back({ hostId, limit.perSecond, std::chrono::ceil<Milliseconds>(now - limit.saidAt) });
     }
     std::ranges::sort(result, {}, &NamedLimit::age);
-    result.resize(std::min(result.size(), mostTold));
+    result.resize(std::min(result.size(), maxGossipedLimits));
     return result;
 }
 
@@ -150,7 +150,7 @@
 void RateLimits::deal(std::span<const DutyNode> nodes, std::string_view self, MonotonicTime now)
 {
     std::erase_if(m_limits, [&](const auto& entry) {
-        return now - entry.second.saidAt > (entry.second.perSecond ? unheardKept : liftedKept);
+        return now - entry.second.saidAt > (entry.second.perSecond ? staleRetention : liftedRetention);
     });
     std::erase_if(m_sends, [&](const auto& entry) {
         return bucketOf(now) - entry.second.newest >= static_cast<int64_t>(RecentSends::buckets);
@@ -158,13 +158,13 @@
     for (auto& [hostId, limit] : m_limits) {
         if (!limit.perSecond)
             continue;
-        auto sharers = chooseNodes(nodes, "rate-limit " + hostId, sharersOf(*limit.perSecond, nodes.size()));
+        auto sharers = chooseNodes(nodes, "rate-limit " + hostId, sharerCount(*limit.perSecond, nodes.size()));
         bool isSharer = std::ranges::find(sharers, self) != sharers.end();
         double share = isSharer ? *limit.perSecond / static_cast<double>(sharers.size()) : 0;
         limit.tokens = tokensAt(limit, now);
         limit.filledAt = now;
         if (isSharer && !limit.isDealt)
-            limit.tokens = tokensAtFirst(sentLately(hostId, now), nodes.size(), sharers.size(), share);
+            limit.tokens = initialTokens(sentLately(hostId, now), nodes.size(), sharers.size(), share);
         else if (limit.share == 0 || !isSharer)
             limit.tokens = std::min(limit.tokens, 0.0);
         limit.share = share;
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     // Of the largest share: nodes that differ by less do a duty alike.
-    constexpr double strongShare = 0.5;
+    constexpr double largeShareRatio = 0.5;
 
     double largestShare(std::span<const DutyNode> nodes)
     {
@@ -24,7 +24,7 @@
 
 bool isStrong(const DutyNode& node, std::span<const DutyNode> all)
 {
-    return node.cpuShare >= strongShare * largestShare(all);
+    return node.cpuShare >= largeShareRatio * largestShare(all);
 }
 
 std::vector<std::string> chooseNodes(std::span<const DutyNode> nodes, std::string_view duty, size_t count)
@@ -38,7 +38,7 @@
     count = std::min(count, chosen.size());
     std::ranges::partial_sort(
         chosen, chosen.begin() + static_cast<std::ptrdiff_t>(count), std::ranges::greater(), [&](const DutyNode* node) {
-            return std::pair(node->cpuShare >= strongShare * largest, hash64(node->address, seed));
+            return std::pair(node->cpuShare >= largeShareRatio * largest, hash64(node->address, seed));
         });
     std::vector<std::string> result;
     for (size_t i = 0; i < count; ++i)
--- a/src/fleet/retryallowance.cpp
+++ b/src/fleet/retryallowance.cpp
@@ -48,8 +48,8 @@
         firstSends += bucket.firstSends;
         retries += bucket.retries;
     }
-    double grown = std::min(1.0, toSeconds(now - m_started) / toSeconds(m_limits.window));
-    return usableShare * (m_limits.ratio * firstSends + grown * m_limits.allowance / m_nodes) - retries;
+    double rampUp = std::min(1.0, toSeconds(now - m_started) / toSeconds(m_limits.window));
+    return usableShare * (m_limits.ratio * firstSends + rampUp * m_limits.allowance / m_nodes) - retries;
 }
 
 bool RetryAllowance::takeRetry(std::string_view service, MonotonicTime now)
--- a/tests/fleet/backoffs_test.cpp
+++ b/tests/fleet/backoffs_test.cpp
@@ -24,7 +24,7 @@
 }
 
 // A server that asked for a backoff of seconds was left alone for a fraction of one.
-TEST_F(BackoffsTest, KeepCallsAwayUntilTheyEnd)
+TEST_F(BackoffsTest, PreventCallsUntilTheyEnd)
 {
     m_balancer.setTargets({ plain("a"), plain("b") });
     m_balancer.started("a", start);
@@ -39,7 +39,7 @@
 }
 
 // An answer to an earlier request, or a new list of servers, says nothing of the backoff.
-TEST_F(BackoffsTest, EndByTimeAlone)
+TEST_F(BackoffsTest, EndOnlyWhenTheirTimeHasPassed)
 {
     m_balancer.setTargets({ plain("a") });
     m_balancer.started("a", start);
@@ -55,7 +55,7 @@
     EXPECT_EQ(m_balancer.backoffs().size(), 0u);
 }
 
-TEST(Backoffs, AreNotCutShortByALaterRefusal)
+TEST(Backoffs, AreNotShortenedByALaterRefusal)
 {
     Backoffs backoffs;
     backoffs.asked("a", 3s, start);
@@ -68,7 +68,7 @@
 
 // Callers that are refused since every server asked for a backoff must not be told to come back before one is there
 // again.
-TEST_F(BackoffsTest, SayWhenTheFirstServerIsBackIfAllAskedForThem)
+TEST_F(BackoffsTest, GiveTheEarliestEndIfAllServersAreBackedOff)
 {
     m_balancer.setTargets({ plain("a"), plain("b") });
     m_balancer.backoffs().asked("a", 5s, start);
--- a/tests/fleet/balancer_test.cpp
+++ b/tests/fleet/balancer_test.cpp
@@ -37,7 +37,7 @@
 
 }
 
-TEST_F(BalancerTest, ChoosesOnlyWhatServesTheModelAndHasRoom)
+TEST_F(BalancerTest, ChoosesOnlyTargetsOfTheModelWithCapacity)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b", "small") });
     for (int i = 0; i < 4; ++i) {
@@ -51,7 +51,7 @@
     EXPECT_EQ(choose(), "a");
 }
 
-TEST_F(BalancerTest, CountsWhatOtherNodesHaveThere)
+TEST_F(BalancerTest, CountsRequestsOfOtherNodes)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     m_balancer.setOthersInFlight({ { "a", 4 } });
@@ -59,7 +59,7 @@
         EXPECT_EQ(choose(), "b");
 }
 
-TEST_F(BalancerTest, KeepsOffATargetThatFailedForAWhile)
+TEST_F(BalancerTest, AvoidsAFailedTargetTemporarily)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
@@ -72,7 +72,7 @@
 }
 
 // A dead host is listed for some seconds more; each try costs a call the time of a connect.
-TEST_F(BalancerTest, KeepsOffAnUnreachableTargetForLonger)
+TEST_F(BalancerTest, AvoidsAnUnreachableTargetForLonger)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
@@ -82,7 +82,7 @@
 }
 
 // A replica that lost a member stops all its streams at once, while its head goes on accepting.
-TEST_F(BalancerTest, SeesThatAllStreamsOfAReplicaStandStill)
+TEST_F(BalancerTest, DetectsThatAllStreamsOfAReplicaStalled)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     startWriting("a", 2);
@@ -96,7 +96,7 @@
     EXPECT_EQ(m_balancer.standingStill(start + Milliseconds(1310)), std::vector<std::string> { "a" });
 }
 
-TEST_F(BalancerTest, GivesOneStreamAloneMoreTime)
+TEST_F(BalancerTest, AllowsALongerGapForASingleStream)
 {
     m_balancer.setTargets({ headOf("a") });
     startWriting("a", 1);
@@ -106,14 +106,14 @@
     EXPECT_FALSE(m_balancer.standingStill(start + Milliseconds(1700)).empty());
 }
 
-TEST_F(BalancerTest, NothingIsDueBeforeTheFirstEvent)
+TEST_F(BalancerTest, DetectsNoStallBeforeTheFirstEvent)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
     EXPECT_TRUE(m_balancer.standingStill(start + std::chrono::seconds(5)).empty());
 }
 
-TEST_F(BalancerTest, CountsRequestsOfATargetThatLeft)
+TEST_F(BalancerTest, CountsRequestsOfARemovedTarget)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
@@ -126,7 +126,7 @@
 }
 
 // What other nodes have there is seconds old, so a full replica may look empty: its refusal counts for more.
-TEST_F(BalancerTest, LeavesAFullTargetAloneForLongerWithEachRefusal)
+TEST_F(BalancerTest, AvoidsAFullTargetForLongerAfterEachRefusal)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     m_balancer.started("a", start);
@@ -147,7 +147,7 @@
 
 // 95 nodes choose by counts that are some tenths of a second old: were the emptier one always taken, all would send
 // there until they hear of each other.
-TEST_F(BalancerTest, PrefersTheEmptierTargetWithoutSendingEverythingThere)
+TEST_F(BalancerTest, PrefersTheLessLoadedTargetWithoutExclusiveUse)
 {
     m_balancer.setTargets({ headOf("a", "large", 14), headOf("b", "large", 14) });
     m_balancer.setOthersInFlight({ { "a", 5 }, { "b", 9 } });
@@ -165,7 +165,7 @@
 }
 
 // A new list of targets must not make a node forget what a server takes.
-TEST_F(BalancerTest, LeavesOutATargetWhoseLimitIsUsedUp)
+TEST_F(BalancerTest, ExcludesATargetWhoseRateLimitIsExhausted)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     m_balancer.limits().answered("a", 0.5, start, start);
--- a/tests/fleet/configcatchup_test.cpp
+++ b/tests/fleet/configcatchup_test.cpp
@@ -14,7 +14,7 @@
 
 // Sixty nodes hear of a new version from eight peers four times a second while the store brings it to nobody. Each asks
 // once; pushed by every peer that knew an older version of the reader, the text went out up to 32 times a second.
-TEST(ConfigCatchUp, AsksOnePeerOnceForAVersion)
+TEST(ConfigCatchUp, FetchesAVersionOnceFromOnePeer)
 {
     ConfigCatchUp catchUp;
     Random random(1);
@@ -32,7 +32,7 @@
     EXPECT_EQ(asks, 1);
 }
 
-TEST(ConfigCatchUp, GivesTheStoreTimeFirst)
+TEST(ConfigCatchUp, WaitsForTheStoreFirst)
 {
     ConfigCatchUp catchUp;
     Random random(1);
@@ -40,17 +40,18 @@
     EXPECT_FALSE(catchUp.beginAsk(7, true, start + Milliseconds(200), random));
     EXPECT_FALSE(catchUp.beginAsk(8, true, start + Milliseconds(500), random)) << "the store has brought it";
     EXPECT_EQ(catchUp.beginAsk(7, true, start + Milliseconds(500), random), "a");
-    ConfigCatchUp without;
-    without.heard("a", true, 8, start);
-    EXPECT_EQ(without.beginAsk(0, false, start, random), "a") << "a node without any configuration serves nobody";
-    ConfigCatchUp withReader;
-    withReader.heard("reader", true, 8, start);
-    EXPECT_EQ(withReader.beginAsk(7, false, start, random), "reader") << "another node reads the store for this one";
+    ConfigCatchUp withoutConfig;
+    withoutConfig.heard("a", true, 8, start);
+    EXPECT_EQ(withoutConfig.beginAsk(0, false, start, random), "a") << "a node without any configuration serves nobody";
+    ConfigCatchUp withReaderNode;
+    withReaderNode.heard("reader", true, 8, start);
+    EXPECT_EQ(withReaderNode.beginAsk(7, false, start, random), "reader")
+        << "another node reads the store for this one";
 }
 
 // Each new version put off the ask by the time that the store is given to bring one: a node that the store had turned
 // away stayed behind for as long as changes followed each other within 0.3 s.
-TEST(ConfigCatchUp, AsksInTimeWhileChangesFollowEachOther)
+TEST(ConfigCatchUp, FetchesInTimeWhileChangesFollowEachOther)
 {
     ConfigCatchUp catchUp;
     Random random(1);
@@ -67,7 +68,7 @@
 }
 
 // The store keeps up with them: no text goes over the links twice.
-TEST(ConfigCatchUp, AsksNobodyWhileTheStoreBringsEachChange)
+TEST(ConfigCatchUp, DoesNotFetchWhileTheStoreDeliversEachChange)
 {
     ConfigCatchUp catchUp;
     Random random(1);
@@ -82,31 +83,31 @@
 // A node that another one reads for heard of a version and asked a peer that had just been suspended. It waited for the
 // answer for 1.5 s, asked nobody else meanwhile, and had the version too late; the same as a read that is lost at the
 // store.
-TEST(ConfigCatchUp, HasAVersionInTimeThoughTheFirstPeerIsSilent)
+TEST(ConfigCatchUp, ObtainsAVersionInTimeIfTheFirstPeerIsSilent)
 {
-    constexpr Milliseconds heardOfIn { 450 }; // At the latest, from its acceptance on.
-    constexpr Milliseconds textTakes { 100 };
-    constexpr Milliseconds newsWithin { 2000 };
-    constexpr Milliseconds round { 250 };
+    constexpr Milliseconds maxGossipDelay { 450 }; // At the latest, from its acceptance on.
+    constexpr Milliseconds transferTime { 100 };
+    constexpr Milliseconds maxDelay { 2000 };
+    constexpr Milliseconds gossipPeriod { 250 };
     ConfigCatchUp catchUp;
     Random random(1);
     catchUp.heard("a", true, 8, start);
     catchUp.heard("b", true, 8, start);
     std::vector<MonotonicTime> askedAt;
-    std::optional<MonotonicTime> givenUpAt;
-    for (MonotonicTime now = start; askedAt.size() < 2; now += round) {
+    std::optional<MonotonicTime> timeoutAt;
+    for (MonotonicTime now = start; askedAt.size() < 2; now += gossipPeriod) {
         catchUp.heard("b", true, 8, now);
-        if (givenUpAt && now >= *givenUpAt)
+        if (timeoutAt && now >= *timeoutAt)
             catchUp.askEnded();
         if (!catchUp.beginAsk(7, false, now, random))
             continue;
         askedAt.push_back(now);
-        givenUpAt = now + ConfigCatchUp::patience;
+        timeoutAt = now + ConfigCatchUp::patience;
     }
-    EXPECT_LE(heardOfIn + (askedAt.back() - start) + textTakes, newsWithin);
+    EXPECT_LE(maxGossipDelay + (askedAt.back() - start) + transferTime, maxDelay);
 }
 
-TEST(ConfigCatchUp, AsksOneAtATimeAndAnotherOneNext)
+TEST(ConfigCatchUp, FetchesFromOnePeerAtATimeAndThenFromAnother)
 {
     ConfigCatchUp catchUp;
     Random random(1);
@@ -125,7 +126,7 @@
 }
 
 // Bytes between zones are slow and paid for.
-TEST(ConfigCatchUp, PrefersItsOwnZoneAndPeersThatAreHeard)
+TEST(ConfigCatchUp, PrefersItsOwnZoneAndLivePeers)
 {
     ConfigCatchUp catchUp;
     Random random(1);
--- a/tests/fleet/hosttable_test.cpp
+++ b/tests/fleet/hosttable_test.cpp
@@ -31,7 +31,7 @@
 }
 
 // The list is behind: what it shows just after a report is from before it.
-TEST(HostTable, KeepsAReportThatTheListHasNotCaughtUpWith)
+TEST(HostTable, KeepsAReportUntilTheListCatchesUp)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -40,7 +40,7 @@
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
-TEST(HostTable, TakesTheListOnceItHadTimeToFollow)
+TEST(HostTable, UsesTheListOnceItHadTimeToCatchUp)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -60,7 +60,7 @@
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
-TEST(HostTable, ComesBackToTheListWhenReportsStop)
+TEST(HostTable, ReturnsToTheListWhenReportsStop)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -72,7 +72,7 @@
 }
 
 // The list took over in between, so that nothing but the count tells that the report is from before.
-TEST(HostTable, IgnoresAReportThatWasHeldUpUntilTheListTookOver)
+TEST(HostTable, IgnoresADelayedReportAfterTheListTookOver)
 {
     HostTable table;
     table.listed(hostWith({}), start);
@@ -80,15 +80,15 @@
     table.listed(hostWith(memberOf(2, MemberState::Open)), start + Milliseconds(3000));
     ASSERT_FALSE(table.find("a")->status.ordersAccepted);
     EXPECT_EQ(table.ordersAccepted("a"), 4u);
-    HostStatus heldUp;
-    heldUp.ordersAccepted = 3;
-    table.reported("a", heldUp, start + Milliseconds(3100));
+    HostStatus delayed;
+    delayed.ordersAccepted = 3;
+    table.reported("a", delayed, start + Milliseconds(3100));
     ASSERT_TRUE(table.find("a")->status.membership);
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
 // It joins that model again at once, also if it runs none now.
-TEST(HostTable, RemembersTheModelThatAHostRanLast)
+TEST(HostTable, KeepsTheLastModelOfAHost)
 {
     HostTable table;
     HostStatus member = memberOf(1, MemberState::Ready);
@@ -115,7 +115,7 @@
 }
 
 // A heartbeat without news: nothing is made anew for it, here or at nodes that read on here.
-TEST(HostTable, KeepsItsVersionWhenAnEntrySaysNothingNew)
+TEST(HostTable, KeepsItsVersionForAnUnchangedEntry)
 {
     HostTable table;
     EXPECT_TRUE(table.listed(hostWith(memberOf(1, MemberState::Open)), start));
@@ -127,7 +127,7 @@
 }
 
 // An entry that does not change is not sent again, but the list goes on being read.
-TEST(HostTable, ComesBackToAnEntryThatDidNotComeAgain)
+TEST(HostTable, ReturnsToAnEntryThatWasNotRepeated)
 {
     HostTable table;
     table.listed(hostWith(memberOf(3, MemberState::Open)), start);
@@ -140,7 +140,7 @@
 }
 
 // A member that lost its way to the store serves on; a head gets no more requests, as the list may mean that it drains.
-TEST(HostTable, CountsAMemberThatTheListDropped)
+TEST(HostTable, CountsAnUnlistedMember)
 {
     HostTable table;
     Host head = hostWith(memberOf(1, MemberState::Open));
@@ -165,7 +165,7 @@
 }
 
 // The entry of the earlier life goes only some seconds after the host has started again.
-TEST(HostTable, DropsTheEarlierLifeAtAnAddress)
+TEST(HostTable, DropsTheEarlierIncarnationAtAnAddress)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -182,7 +182,7 @@
 }
 
 // The later life knows nothing of before; what comes late of the earlier one changes nothing.
-TEST(HostTable, TellsTheLivesUnderOneNameApart)
+TEST(HostTable, DistinguishesIncarnationsOfOneName)
 {
     HostTable table;
     Host earlier = hostWith(memberOf(1, MemberState::Open));
@@ -209,7 +209,7 @@
     EXPECT_TRUE(table.hosts().empty()) << "an earlier life, also after the later one has gone";
 }
 
-TEST(HostTable, GathersTheMembersOfAReplica)
+TEST(HostTable, GroupsTheMembersOfAReplica)
 {
     HostTable table;
     Host head = hostWith(memberOf(1, MemberState::Open));
@@ -228,7 +228,7 @@
 }
 
 // A host that said it drains was used again once its entry, which did not say so, came in.
-TEST(HostTable, BelievesAHostThatSaysItDrainsWhateverItsEntrySays)
+TEST(HostTable, KeepsAHostDrainingWhateverItsEntrySays)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
--- a/tests/fleet/loadboard_test.cpp
+++ b/tests/fleet/loadboard_test.cpp
@@ -10,7 +10,7 @@
 
 }
 
-TEST(LoadBoard, AddsUpTheOthersAlone)
+TEST(LoadBoard, TotalExcludesTheNodeItself)
 {
     LoadBoard board;
     board.nodeTold("a", { { "head-1", 3 } }, start);
@@ -21,7 +21,7 @@
     EXPECT_EQ(board.othersOf("stranger", start), (LoadsByHost { { "head-1", 5 }, { "head-2", 12 } }));
 }
 
-TEST(LoadBoard, TakesTheLatestWordOfANode)
+TEST(LoadBoard, UsesTheLatestReportOfANode)
 {
     LoadBoard board;
     board.nodeTold("a", { { "head-1", 3 } }, start);
@@ -31,7 +31,7 @@
 }
 
 // A node that ended, or a zone that is cut off, holds no places for ever.
-TEST(LoadBoard, ForgetsWhoFellSilent)
+TEST(LoadBoard, DropsSilentSenders)
 {
     LoadBoard board;
     board.nodeTold("a", { { "head-1", 3 } }, start);
--- a/tests/fleet/logreads_test.cpp
+++ b/tests/fleet/logreads_test.cpp
@@ -11,14 +11,14 @@
 namespace {
 
     constexpr MonotonicTime start { std::chrono::hours(1) };
-    constexpr Milliseconds storeAnswersIn { 4 };
+    constexpr Milliseconds storeAnswerTime { 4 };
     // In which a change must be in force at every node that is in touch with the store.
-    constexpr Milliseconds newsWithin { 2000 };
+    constexpr Milliseconds maxDelay { 2000 };
     // By a node that follows the log to one that asks it for news some times a second.
-    constexpr Milliseconds handedOnIn { 450 };
+    constexpr Milliseconds forwardingDelay { 450 };
 
     // While it lasts the store answers nobody, neither calls that come nor those that wait.
-    struct Silence {
+    struct Outage {
         MonotonicTime from;
         MonotonicTime until;
     };
@@ -30,15 +30,15 @@
 
         // When it reads each of the records, which the store accepts at these times in order.
         std::vector<MonotonicTime> readTimes(
-            const std::vector<MonotonicTime>& accepted, const std::vector<Silence>& silences)
+            const std::vector<MonotonicTime>& accepted, const std::vector<Outage>& silences)
         {
             std::vector<MonotonicTime> result;
             MonotonicTime now = start;
             while (result.size() < accepted.size()) {
                 ReadTerms terms = reads.next();
                 MonotonicTime nextRecord = accepted[result.size()];
-                MonotonicTime answerAt = std::clamp(nextRecord, now, now + terms.hold) + storeAnswersIn;
-                bool isLost = answerAt - now > terms.patience || std::ranges::any_of(silences, [&](const Silence& s) {
+                MonotonicTime answerAt = std::clamp(nextRecord, now, now + terms.hold) + storeAnswerTime;
+                bool isLost = answerAt - now > terms.patience || std::ranges::any_of(silences, [&](const Outage& s) {
                     return s.from < answerAt && now < s.until;
                 });
                 now = isLost ? now + terms.patience + reads.failed(draw) : answerAt;
@@ -54,7 +54,7 @@
 
     // How long after the store accepted it, or came back, the node read a record; the longest.
     Milliseconds longestDelay(
-        Follower follower, const std::vector<MonotonicTime>& accepted, const std::vector<Silence>& silences)
+        Follower follower, const std::vector<MonotonicTime>& accepted, const std::vector<Outage>& silences)
     {
         auto readAt = follower.readTimes(accepted, silences);
         MonotonicTime::duration longest {};
@@ -72,16 +72,16 @@
 // answered. Each node's lines said so: two reads that waited for 4.70 s, with 0.1 s between them, and all versions in
 // one go after them. Here the store falls silent at each moment of a read and for each time up to 12 s, and accepts a
 // change as soon as it is back.
-TEST(LogReads, ReadEachRecordInTimeAfterASilenceOfAnyLength)
+TEST(LogReads, ReadsEachRecordInTimeAfterAnOutageOfAnyLength)
 {
-    constexpr Milliseconds grain { 100 };
-    for (Milliseconds begin { 0 }; begin < Milliseconds(6000); begin += grain) {
-        for (Milliseconds length = grain; length < Milliseconds(12'000); length += grain) {
-            Silence silence { start + begin, start + begin + length };
+    constexpr Milliseconds timeStep { 100 };
+    for (Milliseconds begin { 0 }; begin < Milliseconds(6000); begin += timeStep) {
+        for (Milliseconds length = timeStep; length < Milliseconds(12'000); length += timeStep) {
+            Outage silence { start + begin, start + begin + length };
             std::vector<MonotonicTime> accepted { silence.until, silence.until + Milliseconds(300) };
             for (double draw : { 0.0, 1.0 }) {
-                Milliseconds delay = longestDelay({ LogReads::forNewsWithin(newsWithin), draw }, accepted, { silence });
-                ASSERT_LE(delay + handedOnIn, newsWithin)
+                Milliseconds delay = longestDelay({ LogReads::forNewsWithin(maxDelay), draw }, accepted, { silence });
+                ASSERT_LE(delay + forwardingDelay, maxDelay)
                     << "silent from " << begin.count() << " ms on for " << length.count();
             }
         }
@@ -90,14 +90,14 @@
 
 // The store may fall silent again before nodes have recovered, and change often; no record is late that it accepted
 // while it served.
-RC_GTEST_PROP(LogReads, NoRecordIsLateThatAServingStoreAccepted, ())
+RC_GTEST_PROP(LogReads, ReadsEachRecordOfAServingStoreInTime, ())
 {
     auto within = Milliseconds(*rc::gen::inRange(2000, 6000));
-    std::vector<Silence> silences;
+    std::vector<Outage> silences;
     std::vector<MonotonicTime> accepted;
     MonotonicTime now = start;
     for (int i = *rc::gen::inRange(1, 5); i > 0; --i) {
-        Silence silence { now + Milliseconds(*rc::gen::inRange(0, 9000)), {} };
+        Outage silence { now + Milliseconds(*rc::gen::inRange(0, 9000)), {} };
         silence.until = silence.from + Milliseconds(*rc::gen::inRange(1, 12'000));
         // Served for long enough before the next one that each change must have arrived.
         now = silence.until;
--- a/tests/fleet/looppauses_test.cpp
+++ b/tests/fleet/looppauses_test.cpp
@@ -13,7 +13,7 @@
 
 }
 
-TEST(LoopPauses, CountsNothingWhileTheTimerIsInTime)
+TEST(LoopPauses, ReportsNoPauseWhileTheTimerIsOnTime)
 {
     LoopPauses pauses;
     for (int i = 0; i < 100; ++i)
@@ -22,7 +22,7 @@
 }
 
 // A call asked at 100 whose time-out at 200 was only looked at after a pause from 150 to 900.
-TEST(LoopPauses, TellsHowMuchOfACallTheLoopStood)
+TEST(LoopPauses, MeasuresThePauseWithinACall)
 {
     LoopPauses pauses;
     pauses.fired(at(100), at(150));
@@ -34,7 +34,7 @@
     EXPECT_EQ(pauses.since(at(905), at(910)), Milliseconds(0));
 }
 
-TEST(LoopPauses, ForgetsWhatIsLongOver)
+TEST(LoopPauses, DropsOldPauses)
 {
     LoopPauses pauses;
     pauses.fired(at(0), at(50));
--- a/tests/fleet/mechanism_test.cpp
+++ b/tests/fleet/mechanism_test.cpp
@@ -4,7 +4,7 @@
 
 namespace Kumquatpick {
 
-TEST(Mechanism, ReadsWhatIsSwitchedOff)
+TEST(Mechanism, ParsesTheDisabledMechanisms)
 {
     EXPECT_FALSE(MechanismsOff::parse("")->contains(Mechanism::Shift));
     auto off = MechanismsOff::parse("control-candidates,shift");
--- a/tests/fleet/ordercounts_test.cpp
+++ b/tests/fleet/ordercounts_test.cpp
@@ -25,7 +25,7 @@
             hosts.reported("a", status, at);
         }
 
-        void give(OrderKind kind, OrderResult result, MonotonicTime at, uint64_t epoch = 5)
+        void runOrder(OrderKind kind, OrderResult result, MonotonicTime at, uint64_t epoch = 5)
         {
             HostOrder order;
             order.kind = kind;
@@ -43,28 +43,28 @@
 }
 
 // A join of it has this as its condition, so a host that took an order nobody here knows of refuses.
-TEST_F(OrderCountsTest, TakesAHostThatHoldsNothingForOneWithoutOrders) { EXPECT_EQ(counts.known(hosts, "a"), 0u); }
+TEST_F(OrderCountsTest, AssumesNoOrdersForABlankHost) { EXPECT_EQ(counts.known(hosts, "a"), 0u); }
 
-TEST_F(OrderCountsTest, KnowsNothingBeforeAReport)
+TEST_F(OrderCountsTest, HasNoCountBeforeAReport)
 {
     Host used;
     used.id = "a";
     used.status.stagedModels = { "large" };
     hosts.listed(used, start);
     EXPECT_FALSE(counts.known(hosts, "a"));
-    give(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(10));
+    runOrder(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(10));
     EXPECT_FALSE(counts.known(hosts, "a"));
     report(7, start + Milliseconds(20));
     EXPECT_EQ(counts.known(hosts, "a"), 7u);
 }
 
 // Reports are some 200 ms behind: without this, each move of a host would wait for one.
-TEST_F(OrderCountsTest, CountsWhatTheHostBegan)
+TEST_F(OrderCountsTest, CountsOrdersThatTheHostStarted)
 {
     report(1, start);
-    give(OrderKind::Stage, OrderResult::Accepted, start + Milliseconds(10));
-    give(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(20));
-    give(OrderKind::Join, OrderResult::Holds, start + Milliseconds(30));
+    runOrder(OrderKind::Stage, OrderResult::Accepted, start + Milliseconds(10));
+    runOrder(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(20));
+    runOrder(OrderKind::Join, OrderResult::Holds, start + Milliseconds(30));
     EXPECT_EQ(counts.known(hosts, "a"), 3u);
     report(1, start + Milliseconds(25));
     EXPECT_EQ(counts.known(hosts, "a"), 3u) << "the report is of before the last order's end";
@@ -77,15 +77,15 @@
 TEST_F(OrderCountsTest, CountsALeaveOnlyOfAMember)
 {
     report(1, start);
-    give(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(10));
+    runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(10));
     EXPECT_EQ(counts.known(hosts, "a"), 1u) << "it reported that it is none";
-    give(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(20));
-    give(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(30));
+    runOrder(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(20));
+    runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(30));
     EXPECT_EQ(counts.known(hosts, "a"), 3u) << "it had accepted the join, though no report shows that yet";
-    give(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(40));
+    runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(40));
     EXPECT_FALSE(counts.known(hosts, "a")) << "not certain any more";
     report(3, start + Milliseconds(50), Membership { "replica", 6, 0, MemberState::Ready });
-    give(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(60), 6);
+    runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(60), 6);
     EXPECT_EQ(counts.known(hosts, "a"), 4u);
 }
 
@@ -95,7 +95,7 @@
     uint64_t orders = 1;
     for (OrderResult result : { OrderResult::Lost, OrderResult::Unfit, OrderResult::Fenced }) {
         report(orders, at += Milliseconds(100));
-        give(OrderKind::Join, result, at + Milliseconds(10));
+        runOrder(OrderKind::Join, result, at + Milliseconds(10));
         EXPECT_FALSE(counts.known(hosts, "a")) << name(result);
         report(orders, at + Milliseconds(5));
         EXPECT_FALSE(counts.known(hosts, "a")) << name(result) << ", a report of before";
--- a/tests/fleet/patienceprofile_test.cpp
+++ b/tests/fleet/patienceprofile_test.cpp
@@ -18,25 +18,24 @@
 
 // Callers with 85 to 100 in 100 of the longest patience, as phones set their timers; one in six comes back after a
 // refusal with a second and more less.
-TEST(PatienceProfile, TakesTheUsualSpreadForNone)
+TEST(PatienceProfile, IgnoresTheUsualSpread)
 {
     PatienceProfile profile;
     Random random(3);
-    int firstTaken = 0;
-    int returnedTaken = 0;
+    int firstTriesCounted = 0;
+    int retriesCounted = 0;
     for (int i = 0; i < 3000; ++i) {
-        bool isReturned = i > 300 && i % 6 == 0;
-        Milliseconds patience
-            = between(random, 6800, 8000) - (isReturned ? between(random, 1500, 3000) : Milliseconds(0));
-        bool taken = profile.cameBack(patience, target);
-        firstTaken += !isReturned && taken;
-        returnedTaken += isReturned && taken;
+        bool isRetry = i > 300 && i % 6 == 0;
+        Milliseconds patience = between(random, 6800, 8000) - (isRetry ? between(random, 1500, 3000) : Milliseconds(0));
+        bool isCounted = profile.cameBack(patience, target);
+        firstTriesCounted += !isRetry && isCounted;
+        retriesCounted += isRetry && isCounted;
     }
-    EXPECT_LT(firstTaken, 25) << "of some 2,550";
-    EXPECT_GT(returnedTaken, 200) << "of 450";
+    EXPECT_LT(firstTriesCounted, 25) << "of some 2,550";
+    EXPECT_GT(retriesCounted, 200) << "of 450";
 }
 
-TEST(PatienceProfile, SeesReturnsAmongCallersWithOnePatience)
+TEST(PatienceProfile, DetectsRetriesAmongCallersWithOneTimeout)
 {
     PatienceProfile profile;
     for (int i = 0; i < 100; ++i)
@@ -45,7 +44,7 @@
     EXPECT_FALSE(profile.cameBack(Milliseconds(5800), target));
 }
 
-TEST(PatienceProfile, OneVeryPatientCallerMakesNobodyLate)
+TEST(PatienceProfile, IsNotShiftedByOneVeryLongTimeout)
 {
     PatienceProfile profile;
     for (int i = 0; i < 100; ++i)
--- a/tests/fleet/ratelimits_test.cpp
+++ b/tests/fleet/ratelimits_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/limitedworld.h"
+#include "fleet/ratelimitsimulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -25,23 +25,24 @@
     for (size_t nodes : { 1U, 6U, 95U, 300U }) {
         for (double limit : { 0.4, 1.8, 12.0 }) {
             for (double calls : { callsFor(limit), callsWhereOthersAreFull(nodes) }) {
-                LimitedWorld world(nodes, calls, nodes);
+                RateLimitSimulation world(nodes, calls, nodes);
                 world.run(5s);
-                world.name(limit);
+                world.setLimit(limit);
                 world.run(20s);
-                EXPECT_LE(world.mostInSpan(), LimitedWorld::allowed(limit)) << nodes << " nodes, limit " << limit;
+                EXPECT_LE(world.maxInWindow(), RateLimitSimulation::allowed(limit))
+                    << nodes << " nodes, limit " << limit;
             }
         }
     }
 }
 
 // Where the other servers are full, what a server in need still takes is not left to lie.
-TEST(RateLimits, AreUsedWhereOthersAreFull)
+TEST(RateLimits, AreUsedWhileOtherServersAreFull)
 {
     for (size_t nodes : { 6U, 95U, 300U }) {
         for (double limit : { 0.4, 1.8, 12.0 }) {
-            LimitedWorld world(nodes, callsWhereOthersAreFull(nodes), nodes);
-            world.name(limit);
+            RateLimitSimulation world(nodes, callsWhereOthersAreFull(nodes), nodes);
+            world.setLimit(limit);
             world.run(40s);
             EXPECT_GE(static_cast<double>(world.arrivedSince(world.now - 20s)), 0.6 * limit * 20)
                 << nodes << " nodes, limit " << limit;
@@ -50,23 +51,23 @@
 }
 
 // What a node sent before it heard of the limit counts at the server too.
-TEST(RateLimits, OweWhatWasSentJustBefore)
+TEST(RateLimits, CountRequestsSentJustBefore)
 {
     for (size_t nodes : { 6U, 95U }) {
-        LimitedWorld world(nodes, 10, 1);
+        RateLimitSimulation world(nodes, 10, 1);
         world.run(5s);
-        world.name(1.5);
+        world.setLimit(1.5);
         world.run(3s);
-        EXPECT_LE(world.arrivedSince(world.firstNamedAt + 1s), 4U);
+        EXPECT_LE(world.arrivedSince(world.limitedSince + 1s), 4U);
     }
 }
 
-TEST(RateLimits, AreKeptWhileTheNodesThatShareThemEnd)
+TEST(RateLimits, AreKeptWhileSharingNodesStop)
 {
     for (size_t nodes : { 6U, 95U }) {
-        LimitedWorld world(nodes, callsWhereOthersAreFull(nodes), nodes);
+        RateLimitSimulation world(nodes, callsWhereOthersAreFull(nodes), nodes);
         world.run(5s);
-        world.name(1.8);
+        world.setLimit(1.8);
         world.run(4s);
         std::set<size_t> ended;
         for (int i = 0; i < 4; ++i) {
@@ -74,54 +75,55 @@
             auto busiest = world.busiestSince(world.now - 3s);
             if (!busiest)
                 continue;
-            world.kill(*busiest);
+            world.stop(*busiest);
             ended.insert(*busiest);
         }
         EXPECT_FALSE(ended.empty());
         world.run(6s);
-        EXPECT_LE(world.mostInSpan(), LimitedWorld::allowed(1.8));
+        EXPECT_LE(world.maxInWindow(), RateLimitSimulation::allowed(1.8));
         EXPECT_GE(world.arrivedSince(world.now - 4s), 3U) << "others take over";
     }
 }
 
-TEST(RateLimits, AreKeptWhereNodesSeeDifferentNodes)
+TEST(RateLimits, AreKeptWhileMembershipViewsDiffer)
 {
     for (uint64_t seed = 1; seed <= 10; ++seed) {
-        LimitedWorld world(95, callsWhereOthersAreFull(95), seed);
-        world.sees = [seed](size_t node, size_t other) { return (node * 131 + other * 31 + seed * 17) % 20 != 0; };
+        RateLimitSimulation world(95, callsWhereOthersAreFull(95), seed);
+        world.considersAlive
+            = [seed](size_t node, size_t other) { return (node * 131 + other * 31 + seed * 17) % 20 != 0; };
         world.run(5s);
-        world.name(1.8);
+        world.setLimit(1.8);
         world.run(15s);
-        EXPECT_LE(world.mostInSpan(), LimitedWorld::allowed(1.8)) << "seed " << seed;
+        EXPECT_LE(world.maxInWindow(), RateLimitSimulation::allowed(1.8)) << "seed " << seed;
     }
 }
 
 // One that starts again knows nothing, and hears of the limit by its first request at the latest.
-TEST(RateLimits, AreKeptWhileNodesStartAgain)
+TEST(RateLimits, AreKeptWhileNodesRestart)
 {
-    LimitedWorld world(6, callsFor(1.8), 7);
+    RateLimitSimulation world(6, callsFor(1.8), 7);
     world.run(5s);
-    world.name(1.8);
+    world.setLimit(1.8);
     world.run(4s);
     std::set<size_t> excused;
     for (size_t node = 0; node < 3; ++node) {
-        world.startAgain(node);
+        world.restart(node);
         excused.insert(node);
         world.run(4s);
     }
-    EXPECT_LE(world.mostInSpan(excused), LimitedWorld::allowed(1.8));
+    EXPECT_LE(world.maxInWindow(excused), RateLimitSimulation::allowed(1.8));
 }
 
-TEST(RateLimits, AreLiftedForAllNodesOnceAnAnswerNamesNone)
+TEST(RateLimits, AreLiftedForAllNodesByAnAnswerWithoutLimit)
 {
-    LimitedWorld world(6, 30, 3);
+    RateLimitSimulation world(6, 30, 3);
     world.run(5s);
-    world.name(1.5);
+    world.setLimit(1.5);
     world.run(10s);
-    EXPECT_LE(world.nodesThatSentSince(world.now - 5s), 4U);
-    world.name(std::nullopt);
+    EXPECT_LE(world.sendersSince(world.now - 5s), 4U);
+    world.setLimit(std::nullopt);
     world.run(5s);
-    EXPECT_EQ(world.nodesThatSentSince(world.now - 2s), 6U);
+    EXPECT_EQ(world.sendersSince(world.now - 2s), 6U);
     EXPECT_GE(world.arrivedSince(world.now - 2s), 40U);
 }
 
@@ -137,7 +139,7 @@
     EXPECT_TRUE(limits.admits("a", start + 500ms));
 }
 
-TEST(RateLimits, OfOneLifeSayNothingOfAnother)
+TEST(RateLimits, OfOneIncarnationDoNotApplyToAnother)
 {
     RateLimits limits;
     limits.answered("host@1", 0.0, start, start);
@@ -145,7 +147,7 @@
     EXPECT_TRUE(limits.admits("host@2", start));
 }
 
-TEST(RateLimits, TakeTheNewerWordOfOtherNodes)
+TEST(RateLimits, TakeTheNewerReportOfOtherNodes)
 {
     RateLimits limits;
     limits.answered("a", 2.0, start, start + 1s);
@@ -158,7 +160,7 @@
 }
 
 // A server that took nothing, and was not asked since, is tried again.
-TEST(RateLimits, AreForgottenWhenNobodyHearsThemAgain)
+TEST(RateLimits, ExpireWhenNotAnnouncedAgain)
 {
     RateLimits limits;
     limits.answered("a", 0.0, start, start);
@@ -168,7 +170,7 @@
     EXPECT_TRUE(limits.admits("a", start + 31s));
 }
 
-RC_GTEST_PROP(RateLimits, NeverAdmitMoreThanTheirRateAndWhatMayBeSavedUp, ())
+RC_GTEST_PROP(RateLimits, NeverAdmitMoreThanTheirRateAndBurst, ())
 {
     auto limit = static_cast<double>(*rc::gen::inRange(1, 400)) / 10;
     RateLimits limits;
--- a/tests/fleet/limitedworld.h
+++ b/tests/fleet/ratelimitsimulation.h
@@ -18,53 +18,55 @@
 
 // Nodes that have calls for one server, which may name a limit in its answers, and that tell each other what they know
 // by asking some others now and then. Time passes in steps.
-class LimitedWorld {
+class RateLimitSimulation {
 public:
     struct Arrival {
         MonotonicTime at;
         size_t node;
-        bool wasTold; // The node had passed on an answer with a limit half a second before or earlier.
+        bool knewLimit; // The node had passed on an answer with a limit half a second before or earlier.
     };
 
-    LimitedWorld(size_t nodes, double callsPerSecond, uint64_t seed)
+    RateLimitSimulation(size_t nodes, double callsPerSecond, uint64_t seed)
         : m_callsPerStep(callsPerSecond * toSeconds(step) / static_cast<double>(nodes))
         , m_random(seed)
     {
         for (size_t i = 0; i < nodes; ++i)
             m_nodes.push_back({ { fmt::format("10.0.{}.{}:7", i / 200, i % 200), 1 }, {}, {}, true, {},
-                static_cast<int>(m_random() % asksEvery), static_cast<int>(m_random() % dealsEvery) });
-        sees = [this](size_t, size_t other) { return m_nodes[other].isAlive || now < m_nodes[other].goneAt + noticed; };
+                static_cast<int>(m_random() % askInterval), static_cast<int>(m_random() % assignmentInterval) });
+        considersAlive = [this](size_t, size_t other) {
+            return m_nodes[other].isAlive || now < m_nodes[other].stoppedAt + failureDetectionDelay;
+        };
     }
 
-    void name(std::optional<double> perSecond)
+    void setLimit(std::optional<double> perSecond)
     {
         if (perSecond && !m_limit)
-            firstNamedAt = now;
+            limitedSince = now;
         m_limit = perSecond;
     }
 
     void run(Milliseconds duration)
     {
         for (MonotonicTime end = now + duration; now < end; now += step, ++m_steps) {
-            answerDue();
+            deliverAnswers();
             for (size_t i = 0; i < m_nodes.size(); ++i) {
                 if (m_nodes[i].isAlive)
-                    live(i);
+                    stepNode(i);
             }
         }
     }
 
-    void kill(size_t node)
+    void stop(size_t node)
     {
         m_nodes[node].isAlive = false;
-        m_nodes[node].goneAt = now;
+        m_nodes[node].stoppedAt = now;
     }
     // Empty, as after a start.
-    void startAgain(size_t node)
+    void restart(size_t node)
     {
         m_nodes[node].isAlive = true;
         m_nodes[node].limits = RateLimits();
-        m_nodes[node].toldAt.reset();
+        m_nodes[node].learnedAt.reset();
     }
     std::optional<size_t> busiestSince(MonotonicTime since) const
     {
@@ -77,17 +79,17 @@
 
     // The most that arrived in any span of four seconds that ends after the nodes had time to learn of the limit, from
     // nodes that had passed on an answer that names it; those that were excused are left out.
-    size_t mostInSpan(const std::set<size_t>& excused = {}) const
+    size_t maxInWindow(const std::set<size_t>& excused = {}) const
     {
         std::deque<MonotonicTime> inSpan;
         size_t most = 0;
         for (const Arrival& arrival : arrivals) {
-            if (!arrival.wasTold || excused.contains(arrival.node))
+            if (!arrival.knewLimit || excused.contains(arrival.node))
                 continue;
             inSpan.push_back(arrival.at);
             while (arrival.at - inSpan.front() >= std::chrono::seconds(4))
                 inSpan.pop_front();
-            if (arrival.at > firstNamedAt + timeToLearn)
+            if (arrival.at > limitedSince + learningTime)
                 most = std::max(most, inSpan.size());
         }
         return most;
@@ -97,7 +99,7 @@
         return static_cast<size_t>(
             std::ranges::count_if(arrivals, [&](const Arrival& arrival) { return arrival.at >= since; }));
     }
-    size_t nodesThatSentSince(MonotonicTime since) const
+    size_t sendersSince(MonotonicTime since) const
     {
         std::set<size_t> nodes;
         for (const Arrival& arrival : arrivals) {
@@ -109,32 +111,32 @@
     static size_t allowed(double perSecond) { return static_cast<size_t>(1.5 * perSecond * 4 + 5); }
 
     MonotonicTime now { std::chrono::hours(1) };
-    MonotonicTime firstNamedAt {};
+    MonotonicTime limitedSince {};
     std::vector<Arrival> arrivals;
     // Whether one node takes another one for alive.
-    std::function<bool(size_t node, size_t other)> sees;
+    std::function<bool(size_t node, size_t other)> considersAlive;
     // Whether one node's question reaches another one.
-    std::function<bool(size_t node, size_t other)> reaches = [](size_t, size_t) { return true; };
+    std::function<bool(size_t node, size_t other)> canReach = [](size_t, size_t) { return true; };
 
 private:
     static constexpr Milliseconds step { 10 };
-    static constexpr Milliseconds answersAfter { 150 };
-    static constexpr Milliseconds noticed { 1500 }; // That a node is gone.
-    static constexpr Milliseconds timeToLearn { 3000 };
-    static constexpr Milliseconds toldBefore { 500 };
-    static constexpr int asksEvery = 25; // Steps.
-    static constexpr int dealsEvery = 100;
-    static constexpr size_t asked = 8;
+    static constexpr Milliseconds answerDelay { 150 };
+    static constexpr Milliseconds failureDetectionDelay { 1500 }; // That a node is gone.
+    static constexpr Milliseconds learningTime { 3000 };
+    static constexpr Milliseconds reactionTime { 500 };
+    static constexpr int askInterval = 25; // Steps.
+    static constexpr int assignmentInterval = 100;
+    static constexpr size_t peersPerRound = 8;
     static constexpr const char* server = "server-1";
 
     struct Node {
-        DutyNode address;
+        DutyNode identity;
         RateLimits limits;
-        std::optional<MonotonicTime> toldAt;
+        std::optional<MonotonicTime> learnedAt;
         bool isAlive = true;
-        MonotonicTime goneAt {};
+        MonotonicTime stoppedAt {};
         int askPhase = 0;
-        int dealPhase = 0;
+        int assignmentPhase = 0;
     };
     struct Answer {
         MonotonicTime due;
@@ -142,37 +144,37 @@
         MonotonicTime sentAt;
     };
 
-    void answerDue()
+    void deliverAnswers()
     {
         for (; !m_answers.empty() && m_answers.front().due <= now; m_answers.pop_front()) {
             const Answer& answer = m_answers.front();
             Node& node = m_nodes[answer.node];
             node.limits.answered(server, m_limit, answer.sentAt, now);
-            if (m_limit && !node.toldAt)
-                node.toldAt = now;
+            if (m_limit && !node.learnedAt)
+                node.learnedAt = now;
         }
     }
 
-    void live(size_t self)
+    void stepNode(size_t self)
     {
         Node& node = m_nodes[self];
-        if (m_steps % asksEvery == node.askPhase)
-            ask(self);
-        if (m_steps % dealsEvery == node.dealPhase)
-            deal(self);
+        if (m_steps % askInterval == node.askPhase)
+            pullFromPeers(self);
+        if (m_steps % assignmentInterval == node.assignmentPhase)
+            assignShares(self);
         bool hasCall = std::uniform_real_distribution<double>(0, 1)(m_random) < m_callsPerStep;
         if (!hasCall || !node.limits.admits(server, now))
             return;
         node.limits.sent(server, now);
-        arrivals.push_back({ now, self, node.toldAt && *node.toldAt + toldBefore <= now });
-        m_answers.push_back({ now + answersAfter, self, now });
+        arrivals.push_back({ now, self, node.learnedAt && *node.learnedAt + reactionTime <= now });
+        m_answers.push_back({ now + answerDelay, self, now });
     }
 
-    void ask(size_t self)
+    void pullFromPeers(size_t self)
     {
-        for (size_t i = 0; i < std::min(asked, m_nodes.size() - 1); ++i) {
+        for (size_t i = 0; i < std::min(peersPerRound, m_nodes.size() - 1); ++i) {
             size_t other = m_random() % m_nodes.size();
-            if (other == self || !m_nodes[other].isAlive || !reaches(self, other))
+            if (other == self || !m_nodes[other].isAlive || !canReach(self, other))
                 continue;
             for (NamedLimit& limit : m_nodes[other].limits.news(now)) {
                 limit.age += step;
@@ -181,14 +183,14 @@
         }
     }
 
-    void deal(size_t self)
+    void assignShares(size_t self)
     {
         std::vector<DutyNode> seen;
         for (size_t other = 0; other < m_nodes.size(); ++other) {
-            if (other == self || sees(self, other))
-                seen.push_back(m_nodes[other].address);
+            if (other == self || considersAlive(self, other))
+                seen.push_back(m_nodes[other].identity);
         }
-        m_nodes[self].limits.deal(seen, m_nodes[self].address.address, now);
+        m_nodes[self].limits.deal(seen, m_nodes[self].identity.address, now);
     }
 
     double m_callsPerStep;
--- a/tests/fleet/rendezvous_test.cpp
+++ b/tests/fleet/rendezvous_test.cpp
@@ -30,7 +30,7 @@
 }
 
 // A node that falls silent is replaced; the other keeps its duty.
-TEST(Rendezvous, ChangesOnlyWhatIsLost)
+TEST(Rendezvous, ReplacesOnlyTheLostNode)
 {
     auto seen = nodes(20);
     auto chosen = chooseNodes(seen, "hosts", 2);
@@ -48,7 +48,7 @@
 }
 
 // Fifteen of 95 nodes have four times the processor of the others.
-TEST(Rendezvous, PrefersNodesWithMuchOfACore)
+TEST(Rendezvous, PrefersNodesWithALargeCpuShare)
 {
     auto seen = nodes(95, 0.12);
     for (size_t i = 0; i < 15; ++i)
--- a/tests/fleet/retryallowance_test.cpp
+++ b/tests/fleet/retryallowance_test.cpp
@@ -21,7 +21,7 @@
 }
 
 // A process that was just started does not know what the one before it repeated.
-TEST(RetryAllowance, GrowsFromNothing)
+TEST(RetryAllowance, RampsUpFromZero)
 {
     RetryAllowance allowance(limits, start);
     EXPECT_EQ(takeAll(allowance, start), 0);
--- a/tests/fleet/routetable_test.cpp
+++ b/tests/fleet/routetable_test.cpp
@@ -27,7 +27,7 @@
 
 }
 
-TEST(RouteTable, TakesTheLongestPrefixOfTheHost)
+TEST(RouteTable, FindsTheLongestPrefixOfTheHost)
 {
     RouteTable routes = table();
     EXPECT_EQ(routes.find("desk.example", "/a/b/c")->name, "long");
@@ -38,7 +38,7 @@
     EXPECT_EQ(routes.find("nobody.example", "/a/"), nullptr);
 }
 
-TEST(RouteTable, LeavesTheQueryOut)
+TEST(RouteTable, IgnoresTheQuery)
 {
     RouteTable routes = table();
     EXPECT_EQ(routes.find("desk.example", "/a?path=/a/b/")->name, "whole");
