--- a/src/fleet/backoffs.h
+++ b/src/fleet/backoffs.h
@@ -8,19 +8,19 @@
 
 namespace Kumquatpick {
 
-// Backend servers that refused a request of this node and said when to retry: until then they get nothing from it. Only
-// time ends a backoff: neither an answer to an earlier request nor a new list of servers does. Kept by the server's
-// life. Not thread-safe; time is handed in.
+// Backoffs requested by backend servers that refused a request of this node and named a retry time. Until then this
+// node sends them nothing. A backoff ends only when its time has passed; an answer to an earlier request or a new list
+// of servers does not end it. Keyed by server incarnation. Not thread-safe. The caller passes the time in.
 class Backoffs {
 public:
-    // A refusal that came now. A later end that was asked for before stays.
+    // Records a backoff that was requested now. It never shortens an earlier one.
     void asked(std::string_view hostId, Milliseconds backoff, MonotonicTime now);
-    // When the server may be sent requests again; the clock's start if it asked for no backoff.
+    // When the server may be sent requests again; the clock's epoch if it requested no backoff.
     MonotonicTime endOf(std::string_view hostId) const;
     bool isBackedOff(std::string_view hostId, MonotonicTime now) const { return endOf(hostId) > now; }
-    // Forgets what is over.
+    // Removes backoffs that have ended.
     void expire(MonotonicTime now);
-    // Servers that are backed off from, or were until expire() was last called.
+    // Servers with a backoff, including those that ended since the last call of expire().
     size_t size() const { return m_ends.size(); }
 
 private:
--- a/src/fleet/balancer.cpp
+++ b/src/fleet/balancer.cpp
@@ -7,36 +7,37 @@
 
 namespace {
 
-    // A pass of the engine writes several tokens and may read a piece of a prompt in between; a stop of several
-    // usual gaps is none of these.
+    // In mean gaps. An engine step writes several tokens and may process part of a prompt in between; neither takes
+    // several times the mean gap.
     constexpr double stallGaps = 5;
     constexpr double minStallMs = 250;
     constexpr double maxStallMs = 1200;
-    // Before the usual gap is known.
+    // Used until the mean gap is known.
     constexpr double initialStallMs = 600;
     constexpr double gapSmoothing = 0.1;
-    // Events of one pass arrive together; only what is further apart tells how long a pass takes.
+    // Events of one engine step arrive together. Only larger gaps measure the duration of a step.
     constexpr double sameStepMs = 8;
 
-    // A replica with a lost member never goes on by itself; its controller is told and takes it apart meanwhile.
+    // A replica with a lost member never recovers by itself; its controller is notified and dissolves it meanwhile.
     constexpr Milliseconds stalledAvoidance { 1500 };
     constexpr Milliseconds failedAvoidance { 400 };
     constexpr double maxFailures = 6;
-    // A target that refused as full has a queue of several seconds; each further refusal in a row doubles the time.
-    // Kept in the choice as if it were empty, since what the others have there is old, single replicas drew up to 400
-    // refusals in half a minute.
+    // A target that refuses because it is full has a queue of several seconds. Each consecutive refusal doubles the
+    // time. Without this, a full target could look empty because the other nodes' counts are out of date: single
+    // replicas refused up to 400 requests in half a minute.
     constexpr Milliseconds fullAvoidance { 150 };
     constexpr int maxDoublings = 3;
-    constexpr double failureDecay = 0.5; // A success halves what is held against a target.
+    constexpr double failureDecay = 0.5; // Factor applied to a target's failures on each success.
 
-    // Bytes between zones cost, but a tenth of a target's load is worth more than the way.
+    // Traffic between zones is paid for, but a difference of a tenth of a target's load outweighs that cost.
     constexpr double remoteZonePenalty = 0.08;
-    // Two random choices, as the best of all would be every node's at once, and of these the emptier one more often
-    // rather than always: what the others have there is old. Always the emptier, counts of 0.3 to 0.5 s sent 5.1 to 9.1
-    // of 100 calls to a replica without a free place; by the square of what is free, 3.5 to 6.0 (simulated, 75
-    // replicas, two thirds full, 95 nodes).
+    // Two targets are sampled at random because all nodes would choose the best target at the same time. Of the two,
+    // the less loaded one is only preferred, by the square of the free share, because the other nodes' counts are out
+    // of date. With counts 0.3 to 0.5 s old, always choosing the less loaded one sent 5.1 to 9.1 of 100 calls to a
+    // replica without a free slot; the weighted choice sent 3.5 to 6.0 (simulation: 75 replicas, two thirds full, 95
+    // nodes).
     constexpr size_t sampledTargets = 2;
-    constexpr double minFreeShare = 0.05; // Of a target's places: a full one is still chosen now and then.
+    constexpr double minFreeShare = 0.05; // Of a target's capacity; a full target is still chosen occasionally.
 
 }
 
@@ -57,7 +58,7 @@
         target.others = remote == m_othersInFlight.end() ? 0 : remote->second;
         next.emplace(std::move(id), std::move(target));
     }
-    // Requests still in flight at a target that left are counted until they end.
+    // Requests in flight at a removed target are counted until they end.
     for (auto& [id, target] : m_targets) {
         if (target.own > 0 && !next.contains(id)) {
             target.what.capacity = 0;
@@ -226,7 +227,7 @@
         if (target.writing == 0 || target.what.model.empty())
             continue;
         double limit = target.gapMs > 0 ? std::clamp(stallGaps * target.gapMs, minStallMs, maxStallMs) : initialStallMs;
-        // One stream alone may have lost its place to others; with two, both would have to.
+        // A single stream may have been preempted by others; for two streams, both would have to be.
         if (target.writing == 1)
             limit *= 2;
         if (std::chrono::duration<double, std::milli>(now - target.lastArrival).count() > limit)
--- a/src/fleet/balancer.h
+++ b/src/fleet/balancer.h
@@ -16,78 +16,78 @@
 
 namespace Kumquatpick {
 
-// Where requests of a model, or of a plain service, may go: the head of an open replica, or a plain host.
+// A destination for requests of a model (the head of an open replica) or of a plain service (a host).
 struct ServingTarget {
     std::string hostId;
     std::string service;
     std::string model; // Empty for a plain service.
     std::string zone;
     uint32_t capacity = 1;
-    double pace = 1; // Time of one step against the service's usual one.
+    double pace = 1; // Duration of one decoding step, relative to the service's usual one.
 };
 
 enum class SendEnd : uint8_t {
     Finished,
-    NotTaken, // Refused as full: says nothing of the target's health, but what is known of its load is old.
-    NotServing, // Refused by a host that is no head any more.
-    Withdrawn, // The caller left or its time was over.
-    Failed, // Broken off, or an answer that can't be used.
-    Stalled, // Nothing came although something was due.
-    Unreachable, // It accepts no connection.
+    NotTaken, // Refused because it is full. The target is healthy, but its load figures are out of date.
+    NotServing, // Refused by a host that is no longer the head of a replica.
+    Withdrawn, // The caller disconnected or its deadline passed.
+    Failed, // The connection broke, or the answer was unusable.
+    Stalled, // No data arrived although some was due.
+    Unreachable, // The target accepts no connections.
 };
 
 struct ChoiceRequest {
     std::string_view service;
     std::string_view model;
-    std::span<const std::string> avoid; // Targets tried already.
-    uint32_t queueLimit = 0; // Requests that may wait at the target beyond its capacity.
+    std::span<const std::string> avoid; // Hosts that this request has already tried.
+    uint32_t queueLimit = 0; // Requests that may queue at the target beyond its capacity.
 };
 
-// Spreads requests over the targets by what is in flight there, this node's own sends and what the other nodes told,
-// and keeps off targets that failed or stand still. Not thread-safe; time is handed in.
+// Spreads requests over targets by the number in flight at each, from this node and, as reported, from the other nodes.
+// Avoids targets that failed or stalled. Not thread-safe. The caller passes the time in.
 class Balancer {
 public:
     explicit Balancer(std::string zone);
 
-    // Replaces the targets; what is known of those that stay is kept.
+    // Replaces the targets. State of targets that remain is kept.
     void setTargets(std::vector<ServingTarget>);
-    // Requests that the other nodes have in flight, by host.
+    // Sets the requests that the other nodes have in flight, by host.
     void setOthersInFlight(std::map<std::string, uint32_t, std::less<>>);
 
-    // The target's host, or empty if none has room.
+    // Returns the host of the chosen target, or an empty string if no target has room.
     std::string choose(const ChoiceRequest&, MonotonicTime now, Random&);
     void started(std::string_view hostId, MonotonicTime now);
-    // An event of a stream arrived, or an answer's head.
+    // A stream event or the head of an answer arrived.
     void progressed(std::string_view hostId, MonotonicTime now);
     void ended(std::string_view hostId, SendEnd, MonotonicTime now);
-    // This node's own loop stood for so long: what arrived meanwhile is still to be read.
+    // Excludes a pause of this node's event loop from stall detection: data that arrived during it is still unread.
     void excusePause(MonotonicTime::duration, MonotonicTime now);
-    // Streams that are past their first event; only for these something is due soon.
+    // Adjusts the number of streams that have had their first event. Only these are expected to deliver data soon.
     void writing(std::string_view hostId, int change);
 
-    // The rates that targets named, which choices keep.
+    // Rate limits that the targets announced; choose() respects them.
     RateLimits& limits() { return m_limits; }
     const RateLimits& limits() const { return m_limits; }
-    // The backoffs that targets asked for, which choices keep.
+    // Backoffs that the targets requested; choose() respects them.
     Backoffs& backoffs() { return m_backoffs; }
     const Backoffs& backoffs() const { return m_backoffs; }
-    // The earliest end of a backoff, if all targets that could be chosen at all asked for one; else nothing.
+    // The earliest end of a backoff if every target that serves this is backed off; otherwise nullopt.
     std::optional<MonotonicTime> allBackedOffUntil(
         std::string_view service, std::string_view model, MonotonicTime now) const;
-    // Times that a target was left out of a choice for its limit alone.
+    // How often a target was excluded from a choice because of its rate limit alone.
     uint64_t leftOutByLimit() const { return m_leftOutByLimit; }
 
-    // Keeps off a target for a while: another node saw it stand still.
+    // Avoids a target until this time because another node reported it as stalled.
     void suspect(std::string_view hostId, MonotonicTime until);
     bool isSuspected(std::string_view hostId, MonotonicTime now) const;
-    // Targets whose streams all stand still for longer than they ever should.
+    // Targets whose streams have all been idle for longer than the stall limit.
     std::vector<std::string> standingStill(MonotonicTime now) const;
 
-    // Own requests in flight, by host; for the other nodes.
+    // This node's requests in flight, by host, to be reported to the other nodes.
     std::map<std::string, uint32_t, std::less<>> inFlight() const;
-    // Over all nodes, at one target.
+    // Requests of all nodes in flight at one target.
     uint32_t inFlightAt(std::string_view hostId) const;
-    // Over all nodes.
+    // Requests of all nodes in flight for one model of a service.
     uint32_t inFlightOf(std::string_view service, std::string_view model) const;
 
 private:
@@ -96,9 +96,9 @@
         uint32_t own = 0;
         uint32_t others = 0;
         int writing = 0;
-        double gapMs = 0; // Usual time between arrivals of anything from it while streams write; 0 until known.
-        double failures = 0; // Fades with successes.
-        int refusals = 0; // As full, in a row.
+        double gapMs = 0; // Mean time between arrivals of data while streams are active; 0 until known.
+        double failures = 0; // Decays with successes.
+        int refusals = 0; // Because the target was full.
         MonotonicTime fullUntil {};
         MonotonicTime lastArrival {};
         MonotonicTime avoidUntil {};
--- a/src/fleet/callpriority.cpp
+++ b/src/fleet/callpriority.cpp
@@ -12,9 +12,9 @@
 
 }
 
-// A second refusal is final, while a first one is not: a caller who came back goes before first tries of any rank. Sent
-// last instead, as it can't be in time any more, 2.4 calls in 100 were refused for good on 24 played days; sent first,
-// 2.3, and the credit earned by all was the same.
+// A second refusal is final and a first one is not, so a caller's retry goes before first tries of any rank. Over 24
+// simulated days, sending retries last because they are already late left 2.4 of 100 calls refused for good; sending
+// them first left 2.3, with the same total credit.
 int callPriority(const CallStanding& inputs)
 {
     if (inputs.hasBegun)
--- a/src/fleet/callpriority.h
+++ b/src/fleet/callpriority.h
@@ -2,14 +2,14 @@
 
 namespace Kumquatpick {
 
-// What decides in which order engines admit a call; all that is known of it when it is sent.
+// Properties of a call, known when it is sent, that decide in which order engines admit it.
 struct CallStanding {
-    bool hasBegun = false; // Its caller reads the answer already, or a broken replica had it.
-    bool cameBack = false; // It was refused before; a caller comes back once.
-    int rank = 0; // Of its team or route, 0 first.
+    bool hasBegun = false; // The caller is already receiving the answer, or a replica that broke was running the call.
+    bool cameBack = false; // It was refused before; a caller retries once.
+    int rank = 0; // Of its team or route; 0 is the highest.
 };
 
-// 0 goes first, 9 last.
+// From 0 (admitted first) to 9 (admitted last).
 int callPriority(const CallStanding&);
 
 } // namespace Kumquatpick
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -9,24 +9,24 @@
 
 namespace Kumquatpick {
 
-// A model that replicas of a service can be formed for.
+// A model that replicas of a service can serve.
 struct ModelSpec {
     std::string name;
     uint32_t hostsPerReplica = 1;
-    double workShare = 0; // Of the service's work, as the operators expect it at the start; 0..1.
+    double workShare = 0; // Expected share of the service's work at the start, set by the operators; 0..1.
     double pace = 1; // Factor on the service's step times; below 1 is faster.
     Milliseconds load {}; // From the weight store.
-    Milliseconds warmLoad {}; // From the host's own staged copy.
+    Milliseconds warmLoad {}; // From a staged copy on the host.
 };
 
-// How the engines of a service spend their time, for predicting it.
+// Timing parameters of a service's engines, used for predictions.
 struct EngineTiming {
-    double stepMs = 0; // One token of every writing request.
-    double perSequenceMs = 0; // Added to a step by each writing request.
+    double stepMs = 0; // Time to produce one token for every active request.
+    double perSequenceMs = 0; // Added to a step by each active request.
     double promptTokensPerSecond = 0;
-    double loadsPerSecond = 0; // Loads that may begin, over all hosts.
-    uint32_t concurrentLoads = 1; // More share the weight store's rate, so each of them takes longer.
-    Milliseconds reportLag {}; // How far a host's own report of its state is behind.
+    double loadsPerSecond = 0; // Rate at which loads may begin, over all hosts.
+    uint32_t concurrentLoads = 1; // More loads at once share the weight store's bandwidth, so each takes longer.
+    Milliseconds reportLag {}; // Delay of a host's own status reports.
     uint32_t usualPromptTokens = 0;
     uint32_t usualAnswerTokens = 0;
 };
@@ -35,7 +35,7 @@
     std::string name;
     std::vector<ModelSpec> models; // Empty for a plain service.
     EngineTiming timing;
-    uint32_t capacity = 0; // Requests that one replica runs at once; 0 if only its hosts know.
+    uint32_t capacity = 0; // Concurrent requests per replica; 0 if it is taken from the hosts' entries.
 
     bool servesModels() const { return !models.empty(); }
     const ModelSpec* model(std::string_view name) const;
@@ -53,21 +53,21 @@
     std::vector<WeightedService> services;
     bool streaming = false;
     bool idempotent = false;
-    bool resumable = false; // A broken stream may go on at another replica.
-    bool isPublic = false; // Takes requests without a key.
+    bool resumable = false; // A broken stream may be resumed at another replica.
+    bool isPublic = false; // Accepts requests without a key.
     Milliseconds timeout {};
-    Milliseconds targetLatency {}; // To the first byte; later answers are worth less.
-    int priority = 0; // 0 goes first.
-    uint32_t maxAttempts = 1; // Replicas that may run one request.
+    Milliseconds targetLatency {}; // To the first byte; later answers earn less credit.
+    int priority = 0; // 0 is the highest.
+    uint32_t maxAttempts = 1; // Replicas on which one request may be attempted.
 };
 
 struct TeamSpec {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<int> priority; // Goes before the route's.
+    std::optional<int> priority; // Overrides the route's priority.
 };
 
-// What callers may send, and how long they may take.
+// Size limits and time-outs for callers' requests.
 struct CallerLimits {
     uint32_t headerBytes = 16 * 1024;
     uint64_t bodyBytes = 4 * 1024 * 1024;
@@ -80,7 +80,7 @@
     uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<ServiceSpec> services;
-    std::vector<TeamSpec> teams; // Empty: no route asks for a key.
+    std::vector<TeamSpec> teams; // If empty, no route requires a key.
     CallerLimits limits;
 
     const ServiceSpec* service(std::string_view name) const;
--- a/src/fleet/configcatchup.cpp
+++ b/src/fleet/configcatchup.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // A reader that waits at the store has the text within a few of its answers; peers hear of it as soon.
+    // A reader that is waiting at the store gets the text within a few answer times, as fast as peers learn of it.
     constexpr Milliseconds storeGracePeriod { 300 };
-    // Configurations may follow each other within 60 ms; one ask brings all of them.
+    // Configurations may follow each other within 60 ms; one fetch covers all of them.
     constexpr Milliseconds minFetchInterval { 400 };
-    // Of the last digest: a peer that fell silent is not asked.
+    // After the last digest. A peer that is silent for longer is not asked.
     constexpr Milliseconds holderLifetime { 1500 };
 
 }
@@ -25,8 +25,8 @@
     m_newest = version;
 }
 
-// A version that came shows that the store brings them, so it gets time for the next one. Newer ones that peers tell of
-// show nothing: they would put off the ask for as long as changes follow each other.
+// An update shows that the store delivers, so the store gets time for the next one as well. Newer versions reported by
+// peers don't restart that time: otherwise the fetch would be delayed for as long as changes follow each other.
 void ConfigCatchUp::noteOwn(uint64_t version, MonotonicTime now)
 {
     bool hasAdvanced = m_own > 0 && version > m_own;
@@ -47,7 +47,7 @@
     std::vector<std::string_view> sameZone;
     std::vector<std::string_view> otherZones;
     for (const auto& [peer, holder] : m_holders) {
-        // The one that just failed to bring it is asked again only if it is the only one.
+        // A peer that was asked last and did not deliver is asked again only if it is the only one.
         bool isRepeat = peer == m_lastAsked && m_holders.size() > 1;
         if (holder.version > ownVersion && !isRepeat)
             (holder.isOfOwnZone ? sameZone : otherZones).push_back(peer);
--- a/src/fleet/configcatchup.h
+++ b/src/fleet/configcatchup.h
@@ -11,23 +11,23 @@
 
 namespace Kumquatpick {
 
-// When a node that lacks a configuration asks a peer for its text, and which peer. Texts are large and links are slow:
-// only who lacks one asks, one peer at a time, and only after the store had time to bring it. Not thread-safe.
+// Decides when a node that lacks a configuration fetches its text, and from which peer. Texts are large and links slow,
+// so there is one fetch at a time, and only after the store has had time to deliver the text. Not thread-safe.
 //
-// Pushed to every peer whose last digest named an older version, a growing configuration filled the links of sixty
-// nodes: 2.2 GB between zones in 34 s, look-ups failed and calls were answered by old versions.
+// When the text was pushed to every peer whose last digest named an older version, a growing configuration saturated
+// the links of 60 nodes: 2.2 GB between zones in 34 s, look-ups failed and calls were served by old versions.
 class ConfigCatchUp {
 public:
-    // Without the head of an answer for so long, an ask is given up: nobody else is asked meanwhile, and a peer that
-    // was just suspended never answers.
+    // A fetch is abandoned if the head of the answer does not arrive within this time, because no other peer is asked
+    // meanwhile and a peer that was just suspended never answers.
     static constexpr Milliseconds patience { 500 };
 
-    // A peer that is alive holds this version.
+    // Records the version that a live peer holds.
     void heard(std::string_view peer, bool isOfOwnZone, uint64_t version, MonotonicTime now);
-    // The peer to ask now, if one should be; begins the ask. waitsForStore: the store may bring it by itself.
+    // Starts a fetch and returns the peer, if one is due. waitsForStore: the store may still deliver the text.
     std::optional<std::string> beginAsk(uint64_t ownVersion, bool waitsForStore, MonotonicTime now, Random&);
     void askEnded();
-    // Whether a peer told of a newer version than this.
+    // Whether a peer has reported a newer version than this.
     bool isBehind(uint64_t ownVersion) const { return m_newest > ownVersion; }
 
 private:
@@ -39,10 +39,10 @@
 
     void noteOwn(uint64_t version, MonotonicTime now);
 
-    std::map<std::string, Holder, std::less<>> m_holders; // Peers by address.
-    uint64_t m_newest = 0; // That a peer told of.
-    uint64_t m_own = 0; // Of this node, as last given.
-    MonotonicTime m_behindSince {}; // A peer told of a newer version then, or one came that is not the newest.
+    std::map<std::string, Holder, std::less<>> m_holders; // By peer address.
+    uint64_t m_newest = 0; // Newest version reported by a peer.
+    uint64_t m_own = 0; // This node's version as of the last beginAsk().
+    MonotonicTime m_behindSince {}; // Last report of a newer version, or last update that was not the newest.
     std::optional<MonotonicTime> m_askedAt;
     std::string m_lastAsked;
     bool m_isAsking = false;
--- a/src/fleet/host.h
+++ b/src/fleet/host.h
@@ -15,11 +15,11 @@
 
 // A host's part in a replica, as the host itself reports it.
 enum class MemberState : uint8_t {
-    Joining, // Loads the model.
-    Ready, // Has it; the head may be opened.
-    Open, // Of a head: takes requests.
-    Closing, // Of a head: finishes what it has.
-    Broken, // Of a head: a member is lost.
+    Joining, // Loading the model.
+    Ready, // The model is loaded; the head may be opened.
+    Open, // Head only: accepts requests.
+    Closing, // Head only: finishes its running requests.
+    Broken, // Head only: a member is lost.
 };
 
 struct Membership {
@@ -35,12 +35,12 @@
     }
 };
 
-// What changes while a host lives, from its list entry or from its own report.
+// The changing state of a host, from its list entry or from its own report.
 struct HostStatus {
-    std::optional<uint64_t> ordersAccepted; // In this life; only a host's own report says it, the list does not.
+    std::optional<uint64_t> ordersAccepted; // By this incarnation. Only in a host's own report, not in the list.
     std::string model; // Of its membership.
-    std::string lastModel; // Of its latest membership in this life: it joins that model again without any load.
-    std::vector<std::string> stagedModels; // Copies on the host, loaded in the model's warmLoad.
+    std::string lastModel; // Of this incarnation's latest membership; joining it again needs no load.
+    std::vector<std::string> stagedModels; // Copies on the host, which load in the model's warmLoad.
     std::optional<Membership> membership;
     std::string domain; // Hosts of one domain form fast replicas.
 
@@ -49,23 +49,23 @@
     {
         return std::ranges::find(stagedModels, wanted) != stagedModels.end();
     }
-    // As of a host that has just started for the first time: member of nothing, holding nothing.
+    // Whether this is the state of a host that has just started for the first time: no membership and no models.
     bool isBlank() const { return !membership && model.empty() && lastModel.empty() && stagedModels.empty(); }
-    // It joins the model without a load from the weight store.
+    // Whether the host can join the model without loading it from the weight store.
     bool holds(std::string_view wanted) const { return lastModel == wanted || isStaged(wanted); }
 };
 
-// A host that starts again may keep its name. It then holds and knows nothing of before, so each life has an id of its
-// own: the name and, where the host tells when it started, that time. Whatever is kept by id starts anew with the life.
+// A restarted host may keep its name but has lost its state. Each incarnation therefore has its own id: the name and,
+// if the host reports it, the start time. All state that is keyed by id starts empty for a new incarnation.
 inline std::string lifeId(std::string_view name, uint64_t born)
 {
     return born == 0 ? std::string(name) : std::string(name) + '@' + std::to_string(born);
 }
 
-// The name under which the host is listed and answers.
+// The name under which the host is listed and reachable.
 inline std::string_view hostName(std::string_view lifeId) { return lifeId.substr(0, lifeId.rfind('@')); }
 
-// Milliseconds since 1970; 0 if the host does not tell.
+// In milliseconds since 1970; 0 if the host does not report it.
 inline uint64_t bornOf(std::string_view lifeId)
 {
     size_t at = lifeId.rfind('@');
@@ -75,7 +75,7 @@
     return born;
 }
 
-// One life of a backend server. Its id never comes again; its address may, for another service.
+// One incarnation of a backend server. Its id is never reused; its address may be, even for another service.
 struct Host {
     std::string id; // See lifeId().
     std::string service;
--- a/src/fleet/hosttable.cpp
+++ b/src/fleet/hosttable.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // The list shows a change within its own lag of up to 0.8 s, and it is read every 0.4 s.
+    // The list lags by up to 0.8 s and is read every 0.4 s.
     constexpr Milliseconds listLag { 1300 };
     constexpr Milliseconds reportLifetime { 2500 };
-    // A member that lost its way to the store is dropped from the list after three heartbeats, and serves on in its
-    // replica. Whoever controls the replica asks it meanwhile; this is how long a partition usually lasts.
+    // A member that loses its connection to the store is removed from the list after three missed heartbeats but goes
+    // on serving in its replica. The replica's controller polls it meanwhile. This is the usual length of a partition.
     constexpr std::chrono::seconds unlistedRetention { 15 };
 
     uint64_t epochOf(const HostStatus& status) { return status.membership ? status.membership->epoch : 0; }
@@ -35,7 +35,8 @@
     bool isChanged = !isKnown || !(sources.listed == host);
     if (isChanged)
         sources.listed = host;
-    // Within one life epochs only grow, so an earlier one is from before the report whatever its time.
+    // Epochs only grow within an incarnation, so an entry with a lower epoch is older than the report whatever its
+    // time.
     bool isReportNewer = sources.reported
         && (at < sources.reportedAt + listLag
             || (host.status.membership && epochOf(host.status) < epochOf(*sources.reported)));
@@ -53,7 +54,7 @@
     return isChanged;
 }
 
-// A host names its model only while it is a member.
+// A host reports its model only while it is a member of a replica.
 void HostTable::keepLastModel(Sources& sources, HostStatus& status)
 {
     if (status.membership && !status.model.empty())
@@ -61,15 +62,16 @@
     status.lastModel = sources.lastModel;
 }
 
-// A late entry of a life that has ended; also one without a time of start under a name that came with one before.
+// A late entry of an incarnation that has ended. An entry without a start time counts as one if an incarnation of the
+// same name with a start time is known.
 bool HostTable::isEarlierLife(const Host& host) const
 {
     auto newest = m_newestLife.find(hostName(host.id));
     return newest != m_newestLife.end() && bornOf(host.id) < bornOf(newest->second);
 }
 
-// A host that starts again has the address of its earlier life, whose entry only goes some seconds later; a late
-// heartbeat may even bring it back. False if it is this one that is the earlier.
+// A restarted host has the address of its earlier incarnation, whose entry is removed only some seconds later; a late
+// heartbeat may even restore it. Returns false if the given host is the earlier incarnation.
 bool HostTable::dropEarlierLife(const Host& host)
 {
     auto other = std::ranges::find_if(m_hosts, [&](const auto& entry) { return entry.second.address == host.address; });
@@ -136,7 +138,7 @@
     found->second.status = std::move(status);
 }
 
-// It counts for the replica that it was a member of, and for nothing else until it is listed again.
+// An unlisted member counts only for its replica until it is listed again, and no longer once it reports that it left.
 void HostTable::reportedAfterLapse(std::string_view id, const HostStatus& status)
 {
     auto unlisted = m_lapsed.find(id);
@@ -178,7 +180,7 @@
     auto found = m_sources.find(id);
     if (found == m_sources.end() || !found->second.reported)
         return false;
-    HostStatus asListed = *found->second.reported; // Which has no count of orders, nor what the host ran before.
+    HostStatus asListed = *found->second.reported; // List entries have no order count and no last model.
     asListed.ordersAccepted.reset();
     asListed.lastModel = found->second.listed.status.lastModel;
     return !(asListed == found->second.listed.status);
--- a/src/fleet/listreaders.cpp
+++ b/src/fleet/listreaders.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-    // Of each zone: while one fails, the other goes on.
+    // Two, so that one continues while the other fails.
     constexpr size_t readersPerZone = 2;
     constexpr const char* duty = "read-hosts";
     constexpr Milliseconds retryDelay { 2000 };
-    // Some rounds of questions; and a leaving host may get work for two seconds.
+    // A few rounds of requests; a leaving host may get work for up to two seconds.
     constexpr Milliseconds storeReadDelay { 1000 };
-    // What readers need to list some thousand hosts from a store that a whole fleet has just turned to.
+    // Time for the readers to list about a thousand hosts from a store that a whole fleet has just sent requests to.
     constexpr Milliseconds readerGracePeriod { 6000 };
 
 }
--- a/src/fleet/listreaders.h
+++ b/src/fleet/listreaders.h
@@ -12,28 +12,28 @@
 
 namespace Kumquatpick {
 
-// Which nodes of a zone read the list of hosts from the store, whom a node asks in their place, and when it may turn to
-// the store all the same. Not thread-safe; no input or output of its own.
+// Chooses which nodes of a zone read the list of hosts from the store, which nodes the others ask for it, and when they
+// may read the store themselves. Not thread-safe; does no I/O.
 //
-// The store can send the list of a large fleet to few nodes at once. While hundreds ask it, it answers none of them in
-// time, the few readers included, and what is given up and asked for again keeps it so; configurations, which come the
-// same way, were up to 19 s late.
+// The store can send the list of a large fleet to only a few nodes at once. While hundreds of nodes request it, none is
+// answered in time, including the few readers, and abandoned and repeated requests keep the store overloaded.
+// Configurations, which take the same path, were up to 19 s late.
 class ListReaders {
 public:
-    // self: by the address that the nodes of the zone know it by.
+    // self: the address by which the other nodes of the zone reach this one.
     explicit ListReaders(std::string self);
 
-    // The readers of a zone, as this node sees it. Those that just failed to hand the list on are left out: the next
-    // ones take their place, long before a large fleet takes them for gone.
+    // The readers of a zone, in this node's view. Nodes that recently failed to provide the list are replaced by the
+    // next ones, long before failure detection in a large fleet removes them.
     std::vector<std::string> readersOf(std::span<const DutyNode> zone, MonotonicTime now) const;
-    // Whom to ask in the own zone; nobody if this node is a reader.
+    // The nodes of the own zone to ask for the list; empty if this node is a reader.
     std::vector<std::string> toAsk(std::span<const DutyNode> ownZone, MonotonicTime now) const;
 
     void failed(std::string_view node, MonotonicTime now);
-    // Some node handed the list on, or this node is a reader itself.
+    // A node provided the list, or this node is a reader itself.
     void isServed() { m_missedSince.reset(); }
-    // After nobody did. One that is cut off from its zone alone waits for a second and has the list in time all the
-    // same; one whose zone is there, and has no list yet either, leaves the store to the readers for longer.
+    // Whether this node may read the store itself after no node provided the list: after one second if no node of the
+    // zone answered, which is still in time; later if one answered without a list, as the readers are still reading.
     bool mayReadStore(bool didAnyAnswer, MonotonicTime now);
 
 private:
--- a/src/fleet/loadboard.cpp
+++ b/src/fleet/loadboard.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Ten rounds of an exchange: one answer that is late changes nothing.
+    // Ten exchange rounds, so that a single late answer has no effect.
     constexpr Milliseconds reportLifetime { 1000 };
 
 }
--- a/src/fleet/loadboard.h
+++ b/src/fleet/loadboard.h
@@ -12,20 +12,20 @@
 // Requests in flight at the backend servers, by host.
 using LoadsByHost = std::map<std::string, uint32_t, std::less<>>;
 
-// What the nodes of a zone have in flight, added up by one of them for all, and the sums that other zones' nodes made.
-// What is older than a second is left out: its node has ended, or tells another one. Not thread-safe.
+// Requests in flight of a zone's nodes, added up by one of them for all, and the totals of the other zones. Reports
+// older than one second are ignored: the sender has stopped or reports to another node. Not thread-safe.
 class LoadBoard {
 public:
     void nodeTold(std::string_view node, LoadsByHost, MonotonicTime now);
     void zoneTold(std::string_view zone, LoadsByHost, MonotonicTime now);
 
-    // Whether any node told its loads lately, so that this one adds up for them.
+    // Whether any node reported its loads recently, so that this node aggregates for the zone.
     bool isUsed(MonotonicTime now) const;
-    // Whether the zone's sum is younger than this.
+    // Whether the zone's total is younger than this.
     bool heardOfZone(std::string_view zone, Milliseconds within, MonotonicTime now) const;
-    // Of this zone's nodes.
+    // Total of this zone's nodes.
     LoadsByHost zoneTotal(MonotonicTime now) const;
-    // Of all nodes but this one.
+    // Total of all nodes except this one.
     LoadsByHost othersOf(std::string_view node, MonotonicTime now) const;
 
 private:
--- a/src/fleet/logreads.cpp
+++ b/src/fleet/logreads.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // A few of the store's usual answers, also when it is slow.
+    // A few times the store's usual answer time, also when it is slow.
     constexpr Milliseconds answerTimeout { 700 };
-    // What the read after a lost one takes, from a slow store.
+    // Duration of the read after a lost one, with a slow store.
     constexpr Milliseconds slowAnswerTime { 200 };
-    // Of the time that news may take; the rest is for handing them on to nodes that do not read the store.
+    // Share of the maximum delay; the rest is for forwarding records to nodes that do not read the store.
     constexpr double readersShare = 0.75;
     constexpr Milliseconds minWait { 100 };
     constexpr Milliseconds initialPause { 100 };
@@ -32,8 +32,8 @@
 {
 }
 
-// A lost read costs what it was held for and its time-out, or, after others that were lost, its time-out and the pause;
-// then comes one that is answered.
+// A lost read costs its wait and its time-out, or, after earlier lost reads, its time-out and the pause. The next read
+// is answered.
 LogReads LogReads::forNewsWithin(Milliseconds within)
 {
     auto readerBudget = std::chrono::duration_cast<Milliseconds>(within * readersShare);
--- a/src/fleet/logreads.h
+++ b/src/fleet/logreads.h
@@ -4,34 +4,34 @@
 
 namespace Kumquatpick {
 
-// How one read of a log is made.
+// Time limits of one read of a log.
 struct ReadTerms {
-    Milliseconds hold {}; // How long the store may keep it waiting for a record.
-    Milliseconds patience {}; // Without the head of an answer for so long, it is given up.
+    Milliseconds hold {}; // How long the store may hold the read until a record arrives.
+    Milliseconds patience {}; // The read is abandoned if the head of the answer does not arrive within this time.
 };
 
-// On which terms a follower makes its next read of a log, and how long it pauses after one that failed. Not
-// thread-safe; no input or output of its own.
+// Chooses the time limits for a follower's next read of a log, and its pause after a failed read. Not thread-safe; does
+// no I/O.
 //
-// A read that waits at the store for a record looks like one that was lost: by a store that fell silent, or on a
-// connection that did. It blinds its node until it is given up, whatever other reads learn meanwhile, and where the
-// store fell silent for all nodes in one moment no peer has the record either. So nothing is held for longer than the
-// follower can afford to lose, and not at all until the store has answered again.
+// A long-polling read cannot be told from one that is lost because the store or the connection stopped responding.
+// Until it is abandoned, its node learns of no new records from the log, whatever other reads return, and if the store
+// stopped for all nodes at once, no peer has them either. A read is therefore held no longer than the follower can
+// afford to lose, and not at all until the store has answered again.
 class LogReads {
 public:
     explicit LogReads(Milliseconds longestHold);
-    // For a log whose records must be known within that time of their acceptance, here and at nodes that this one
-    // reads for, though one read was lost.
+    // For a log whose records must reach this node, and the nodes that it reads for, within this time of their
+    // acceptance even if one read is lost.
     static LogReads forNewsWithin(Milliseconds);
 
     ReadTerms next() const;
-    // Of one page of a listing, which the store never holds. Grows while pages fail, but not where news are urgent: a
-    // store that many nodes list from at once is slow, and a page given up costs it as much as one that is read.
+    // Time-out for one page of a listing, which the store never holds. Grows while pages fail, except with a maximum
+    // delay: many nodes listing at once slow the store, and an abandoned page costs it as much as one that is read.
     Milliseconds listingPatience() const;
     void answered() { m_failures = 0; }
-    // The pause before the next read; draw: from 0 to 1, so that nodes that failed together don't come back together.
+    // Returns the pause before the next read. draw: random in 0..1, so that nodes don't retry at the same time.
     Milliseconds failed(double draw);
-    // In a row.
+    // Consecutive failures.
     int failures() const { return m_failures; }
 
 private:
@@ -39,7 +39,7 @@
 
     Milliseconds m_longestHold;
     Milliseconds m_longestPause;
-    Milliseconds m_longestListing; // Of one page.
+    Milliseconds m_longestListing; // For one page.
     int m_failures = 0;
 };
 
--- a/src/fleet/looppauses.cpp
+++ b/src/fleet/looppauses.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    // Timers fire some milliseconds late on any busy machine; that changes no answer.
+    // On any busy machine, timers fire some milliseconds late; that is too short to affect a time-out.
     constexpr Milliseconds minPause { 20 };
-    // Longer than any call that is judged by its time-out.
+    // Longer than the time-out of any call that is checked against pauses.
     constexpr std::chrono::seconds retention { 10 };
 
 }
@@ -30,7 +30,7 @@
     MonotonicTime::duration total {};
     for (const Pause& pause : m_pauses)
         total += std::max(MonotonicTime::duration(0), pause.end - std::max(begin, pause.begin));
-    // One that has not ended: the caller runs before the timer does.
+    // A pause that is still in progress, if this runs before the timer fires.
     if (now > m_nextDue && now - m_nextDue >= minPause)
         total += now - std::max(begin, m_nextDue);
     return total;
--- a/src/fleet/looppauses.h
+++ b/src/fleet/looppauses.h
@@ -6,17 +6,17 @@
 
 namespace Kumquatpick {
 
-// For how long this node's own event loop stood still, told by a timer that fires later than it was due. While a loop
-// stands, answers wait unread and time-outs expire: whoever did not look has no word on others' silence. One node that
-// planned 760 hosts at a twelfth of a core stood for a second, took 500 hosts for silent, asked eight peers about each,
-// and never caught up. Not thread-safe; time is handed in.
+// Measures pauses of this node's event loop by how late a timer fires. During a pause, answers wait unread and
+// time-outs expire, so a time-out then says nothing about the remote side. A node with a twelfth of a core that planned
+// 760 hosts paused for a second, considered 500 hosts unresponsive, asked eight peers to probe each, and never caught
+// up. Not thread-safe. The caller passes the time in.
 class LoopPauses {
 public:
-    // The timer fired, and is due again at the later time.
+    // The timer fired now and is due again at nextDue.
     void fired(MonotonicTime now, MonotonicTime nextDue);
-    // How long the loop stood in all since then, up to now.
+    // Total time that the loop was paused between begin and now.
     MonotonicTime::duration since(MonotonicTime begin, MonotonicTime now) const;
-    // The last pause that ended; zero if the timer fired in time.
+    // The pause that ended with the last firing of the timer; zero if it fired on time.
     MonotonicTime::duration latest() const { return m_latest; }
 
 private:
@@ -25,7 +25,7 @@
         MonotonicTime end;
     };
 
-    std::deque<Pause> m_pauses; // In order.
+    std::deque<Pause> m_pauses; // Ordered by time.
     MonotonicTime m_nextDue = MonotonicTime::max();
     MonotonicTime::duration m_latest {};
 };
--- a/src/fleet/mechanism.h
+++ b/src/fleet/mechanism.h
@@ -7,33 +7,33 @@
 
 namespace Kumquatpick {
 
-// Parts of the policy that can be switched off, to measure what each is worth; nothing else uses this.
+// Parts of the policy that can be disabled to measure the effect of each; not used for anything else.
 enum class Mechanism : uint8_t {
-    Shift, // Replicas give way to a model that is shorter.
-    SecondModels, // Hosts that serve load a second model.
-    StuckLoads, // Idle hosts that hold a model which their domain lacks hosts for load another one.
-    Homes, // The first plan keeps the replicas of a model together in domains.
-    StandingCut, // Streams of a replica that stands still are cut at once.
-    Resume, // A broken stream goes on at another replica.
-    ReturnOrder, // Calls that come back after a refusal go before first tries.
-    EarlyRefusal, // A call without a place is refused at once rather than held for a while.
-    ReturnSpread, // Callers that are refused together are told to come back at different times.
-    RelayedProbes, // Peers ask a host that does not answer this node.
-    ConditionalJoins, // A host refuses a join if another order reached it meanwhile.
+    Shift, // Replicas give up their hosts to a model that is shorter of capacity.
+    SecondModels, // Serving hosts load a second model.
+    StuckLoads, // Idle hosts holding a model that their domain has too few hosts for load another model.
+    Homes, // The first plan places the replicas of a model together in domains.
+    StandingCut, // Streams of a stalled replica are closed at once.
+    Resume, // A broken stream is resumed at another replica.
+    ReturnOrder, // Retries by callers go before first tries.
+    EarlyRefusal, // A call that finds no free slot is refused at once instead of being queued for a while.
+    ReturnSpread, // Callers that are refused together get different retry times.
+    RelayedProbes, // Peers probe a host that does not answer this node.
+    ConditionalJoins, // A host refuses a join if it accepted another order in the meantime.
     StoreReaders, // A few nodes of a zone read the list of hosts for the others.
-    ControlCandidates, // A few nodes follow the controller's log and may take over.
-    LoadExchange, // One node of a zone adds up what its nodes have in flight.
-    LargerFirst, // Hosts that a larger model lacks don't join a smaller one that has enough.
+    ControlCandidates, // Only a few nodes follow the controller's log and may take over.
+    LoadExchange, // One node of a zone adds up the requests in flight of all its nodes.
+    LargerFirst, // Hosts that a larger model needs don't join a smaller model that has enough.
 };
 
 inline constexpr std::array mechanismNames { "shift", "second-models", "stuck-loads", "homes", "standing-cut", "resume",
     "return-order", "early-refusal", "return-spread", "relayed-probes", "conditional-joins", "store-readers",
     "control-candidates", "load-exchange", "larger-first" };
 
-// Those that are switched off.
+// The set of disabled mechanisms.
 class MechanismsOff {
 public:
-    // From names separated by commas; nothing if one is unknown.
+    // Parses a comma-separated list of names; nullopt if a name is unknown.
     static std::optional<MechanismsOff> parse(std::string_view list);
 
     bool contains(Mechanism mechanism) const { return (m_bits >> static_cast<unsigned>(mechanism) & 1u) != 0; }
--- a/src/fleet/ordercounts.cpp
+++ b/src/fleet/ordercounts.cpp
@@ -11,7 +11,7 @@
     count.wasMember = member;
 }
 
-// Of the order's replica, if that is certain.
+// Whether the host is a member of the order's replica; nullopt if unknown.
 std::optional<bool> OrderCounts::isMember(const HostOrder& order, const HostTable& hosts) const
 {
     const Host* host = hosts.find(order.hostId);
@@ -27,7 +27,8 @@
 {
     Count& count = m_counts[order.hostId];
     count.endedAt = now;
-    // A host counts what it begins. A leave is done at once, so it is answered like one that had nothing to do.
+    // A host counts the orders that it starts. A leave completes at once, so its answer is the same as for a leave that
+    // had nothing to do.
     std::optional<bool> hasBegun;
     if (result == OrderResult::Accepted)
         hasBegun = true;
@@ -46,16 +47,16 @@
     std::erase_if(m_counts, [&](const auto& entry) { return !hosts.find(entry.first); });
 }
 
-// The count is worth nothing without the state that the host had at it. The list tells a state without a count, and may
-// be seconds old.
+// The count is only useful together with the host's status at that count. The list provides a status without a count,
+// and it may be seconds old.
 std::optional<uint64_t> OrderCounts::known(const HostTable& hosts, std::string_view hostId) const
 {
     const Host* host = hosts.find(hostId);
     if (!host)
         return std::nullopt;
     auto found = m_counts.find(hostId);
-    // Most likely it took no order yet. If it did, it refuses the next one, and is asked then. Asking every host of an
-    // empty fleet first took 760 calls in a moment, and the first plan waited for the last answer.
+    // Most likely the host has accepted no order yet. If it has, it refuses the next one and is polled then. Polling
+    // every host of an empty fleet first took 760 calls at once, and the first plan waited for the last answer.
     bool isNew = found == m_counts.end() && !hosts.reportedAt(hostId) && host->status.isBlank();
     if (isNew)
         return 0;
--- a/src/fleet/ordercounts.h
+++ b/src/fleet/ordercounts.h
@@ -12,34 +12,34 @@
 
 namespace Kumquatpick {
 
-// How many orders each host has accepted, as far as the controller that gives them can tell: by the host's own report,
-// and by the answers to orders since. A join that names this number is refused by a host that accepted any other order
-// meanwhile, late or from another controller. A wrong number costs one refused join and a report, never more.
+// The number of orders that each host has accepted, as known to the controller that sends them: from the host's reports
+// and from the answers to later orders. A join carries this number, and a host refuses it if it has accepted any other
+// order meanwhile, delayed or from another controller. A wrong number costs one refused join and one report.
 //
-// Reports are some 200 ms behind; without the answers each move of a host would wait for that long. Not thread-safe.
+// Reports lag by about 200 ms; without the answers, each move of a host would wait that long. Not thread-safe.
 class OrderCounts {
 public:
     void sending(const HostOrder&, const HostTable&);
     void ended(const HostOrder&, OrderResult, MonotonicTime now);
     void forgetUnlisted(const HostTable&);
 
-    // Nothing if only a report can tell, or if what counts as the host's state now is not its own word.
+    // nullopt if a new report is needed, or if the host's current status is not from its own report.
     std::optional<uint64_t> known(const HostTable&, std::string_view hostId) const;
-    // Whether the host's latest report is from after the last order to it ended.
+    // Whether the host's latest report is newer than the end of the last order to it.
     bool isReported(const HostTable&, std::string_view hostId) const;
 
 private:
     struct Count {
         std::optional<uint64_t> beforeOrder;
-        std::optional<bool> wasMember; // Of the replica that the order is about; nothing if that is not certain.
+        std::optional<bool> wasMember; // Of the order's replica; nullopt if unknown.
         std::optional<uint64_t> afterOrder;
-        std::optional<uint64_t> joinedEpoch; // If the order was a join that it accepted.
+        std::optional<uint64_t> joinedEpoch; // Set if the order was a join and was accepted.
         MonotonicTime endedAt {};
     };
 
     std::optional<bool> isMember(const HostOrder&, const HostTable&) const;
 
-    std::map<std::string, Count, std::less<>> m_counts; // By host; of those that got an order.
+    std::map<std::string, Count, std::less<>> m_counts; // By host; only hosts that were sent an order.
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/patienceprofile.cpp
+++ b/src/fleet/patienceprofile.cpp
@@ -5,12 +5,12 @@
 namespace {
 
     constexpr double medianShare = 0.5;
-    // Below the very top, so that one caller with a patience of its own does not make all others late.
+    // Below the maximum, so that one caller with an unusually long timeout does not make all others look like retries.
     constexpr double highQuantileShare = 0.95;
-    // Of the quantile itself, for each call: settled after some fifty calls.
+    // Relative step per call; an estimate settles after about 50 calls.
     constexpr double step = 0.005;
-    // First tries spread evenly reach this many times as far below the top as the median does (0.95 / 0.45); those that
-    // came back pull the median down, which makes the bound looser, never stricter.
+    // For evenly distributed first tries, the distance from the high quantile to the minimum is this multiple of the
+    // distance to the median (0.95 / 0.45). Retries lower the median, which only loosens the bound.
     constexpr double spreadFactor = 2.2;
 
     void updateQuantile(std::optional<double>& quantile, double share, double value)
--- a/src/fleet/patienceprofile.h
+++ b/src/fleet/patienceprofile.h
@@ -6,18 +6,18 @@
 
 namespace Kumquatpick {
 
-// How long the callers of a route are ready to wait, and which of them have waited before: a caller that was refused
-// comes back with what is left of its patience. Callers differ by themselves, so the usual spread counts as none.
+// Tracks the timeouts that the callers of a route set, called patience here, to detect retries: a caller that was
+// refused retries with the rest of its timeout. Timeouts also differ between callers, so the usual spread does not
+// count as a retry.
 //
-// Taken against the longest patience alone, two calls in three counted as come back where patience varies by 15 in 100,
-// and were treated so.
+// When compared with the longest timeout alone, two calls in three were taken for retries where timeouts vary by 15%.
 class PatienceProfile {
 public:
-    // A call came with this patience; whether it can't be a first try any more, by at least this delay.
+    // Records the timeout of a call. Returns whether it is too short for a first try by at least leastDelay.
     bool cameBack(Milliseconds patience, Milliseconds leastDelay);
 
 private:
-    // Quantiles that follow the calls, each by steps that balance at its share.
+    // Running quantile estimates. Each step up or down is weighted so that the estimate settles at its quantile.
     std::optional<double> m_median;
     std::optional<double> m_top;
 };
--- a/src/fleet/ratelimits.cpp
+++ b/src/fleet/ratelimits.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-    // Over which a server's limit is kept.
+    // Window over which a server's limit holds.
     constexpr Milliseconds limitWindow { 4000 };
     constexpr Milliseconds bucketLength { 500 };
-    // Nodes that share a limit: these, and one for each request a second. Each may save up one request, so more nodes
-    // could together send too many at once; fewer would leave the limit unused while one of them has no calls.
+    // A limit is shared by this many nodes plus one per request per second. Each sharer may accumulate one request, so
+    // more sharers could exceed the limit in a burst; fewer would leave it unused while one of them has no calls.
     constexpr double minSharers = 2;
-    // What a node may save up of a high limit.
+    // Time over which a node may accumulate tokens of a high limit.
     constexpr Milliseconds maxBurstTime { 500 };
-    // Rounds enough for all nodes to hear it from each other.
+    // Enough gossip rounds to reach all nodes.
     constexpr Milliseconds gossipDuration { 3000 };
     constexpr size_t maxGossipedLimits = 64;
-    // Longer than it is told, so that no older word comes back after it.
+    // Longer than gossipDuration, so that no older report reinstates a lifted limit.
     constexpr Milliseconds liftedRetention { 10'000 };
-    // A limit that nobody heard again is given up: the nodes that it was dealt to may have no calls for the server.
+    // A limit that is not announced again is dropped, because the nodes that share it may have no calls for the
+    // server.
     constexpr Milliseconds staleRetention { 30'000 };
 
     int64_t bucketOf(MonotonicTime at) { return at.time_since_epoch() / bucketLength; }
@@ -36,8 +37,8 @@
 
     double maxTokens(double share) { return std::max(1.0, share * toSeconds(maxBurstTime)); }
 
-    // What a server got from all nodes before they knew of its limit is owed by those that share it, though none of
-    // them for longer than the limit looks back.
+    // The sharers start in debt for the requests that all nodes sent before they knew of the limit, but none for more
+    // than the limit's window.
     double initialTokens(double recentSends, size_t nodes, size_t sharers, double share)
     {
         double sentByAll = recentSends * static_cast<double>(nodes) / static_cast<double>(sharers);
@@ -69,7 +70,7 @@
         return false;
     bool isStillLimited = limit.perSecond && perSecond && *limit.perSecond > 0;
     if (isStillLimited) {
-        limit.share *= *perSecond / *limit.perSecond; // Until it is dealt anew.
+        limit.share *= *perSecond / *limit.perSecond; // Until the next deal().
     } else {
         limit.share = limit.tokens = 0;
         limit.isDealt = false;
--- a/src/fleet/ratelimits.h
+++ b/src/fleet/ratelimits.h
@@ -15,60 +15,60 @@
 
 struct DutyNode;
 
-// What a backend server said of the rate that it takes, as nodes tell each other.
+// A rate limit announced by a backend server, as the nodes pass it on to each other.
 struct NamedLimit {
     std::string hostId;
-    std::optional<double> perSecond; // Nothing: it names no limit any more.
-    Milliseconds age {}; // Since it said so.
+    std::optional<double> perSecond; // nullopt: the server has lifted its limit.
+    Milliseconds age {}; // Time since the server's answer.
 };
 
-// The rates that backend servers named, each for all nodes together, and this node's part in keeping them.
+// Rate limits announced by backend servers, each for all nodes together, and this node's share of them.
 //
-// Each limit is dealt to few nodes, by rendezvous hashing over those that are alive; the others leave the server alone.
-// So nothing is asked before a send, and the sum holds also in a large fleet, where one request of each node within a
-// few seconds would be too many. A node that a server is newly dealt to begins with nothing, so that the sum holds too
-// while nodes come and go or see each other late.
+// Each limit is divided among a few live nodes chosen by rendezvous hashing; the other nodes send the server nothing.
+// No coordination is needed before a send, and the total holds also in a large fleet, where one request from each node
+// within a few seconds would exceed it. A node that is newly assigned a share starts with no tokens, so the total also
+// holds while nodes start and stop or detect each other late.
 //
-// What is known is kept by the server's life and does not depend on whether it is listed or chosen. Not thread-safe;
-// time is handed in.
+// Limits are keyed by server incarnation and kept whether or not the server is listed or chosen. Not thread-safe. The
+// caller passes the time in.
 class RateLimits {
 public:
-    // What an answer says, to a request that was sent at this time. Returns whether that changes what is believed. An
-    // answer without a limit lifts it only if its request was sent after the limit was last named: answers may
-    // overtake each other.
+    // Applies the limit in an answer to a request that was sent at sentAt. Returns whether the known limit changed.
+    // An answer without a limit lifts it only if its request was sent after the limit was last announced, because
+    // answers may arrive out of order.
     bool answered(std::string_view hostId, std::optional<double> perSecond, MonotonicTime sentAt, MonotonicTime now);
-    // What another node was told. Returns whether that changes what is believed.
+    // Applies a limit reported by another node. Returns whether the known limit changed.
     bool told(const NamedLimit&, MonotonicTime now);
-    // What was heard lately, for the other nodes.
+    // Limits announced recently, to be passed on to other nodes.
     std::vector<NamedLimit> news(MonotonicTime now) const;
 
-    // A request, of any kind, goes to the server.
+    // Counts a request of any kind that is sent to the server.
     void sent(std::string_view hostId, MonotonicTime now);
-    // Whether one may go there now, as far as limits are concerned.
+    // Whether the limits allow a request to the server now.
     bool admits(std::string_view hostId, MonotonicTime now) const;
-    // Shares the limits out anew and forgets what was not heard for long. To be called about once a second.
+    // Reassigns the shares and drops limits that have not been announced for long. Call about once a second.
     void deal(std::span<const DutyNode> nodes, std::string_view self, MonotonicTime now);
 
-    // What the server takes from all nodes together, requests a second; nothing if it names no limit.
+    // Requests per second that the server accepts from all nodes together; nullopt if it has no limit.
     std::optional<double> limitOf(std::string_view hostId) const;
-    // Servers under a limit.
+    // Number of servers with a limit.
     size_t size() const;
 
 private:
     struct Limit {
-        std::optional<double> perSecond; // Nothing once it was lifted.
+        std::optional<double> perSecond; // nullopt once it was lifted.
         MonotonicTime saidAt {};
         bool isDealt = false;
-        double share = 0; // Requests a second of this node.
-        double tokens = 0; // Requests that this node may send, as of filledAt; below 0 it owes some.
+        double share = 0; // Requests per second of this node.
+        double tokens = 0; // Requests that this node may send, as of filledAt; negative while in debt.
         MonotonicTime filledAt {};
     };
 
-    // Requests of this node in the last few seconds.
+    // Requests that this node sent in the last few seconds.
     struct RecentSends {
         static constexpr size_t buckets = 8;
         std::array<uint16_t, buckets> counts {};
-        int64_t newest = 0; // Bucket, counted from the clock's start.
+        int64_t newest = 0; // Bucket number, counted from the clock's epoch.
 
         void advance(int64_t bucket);
     };
@@ -78,7 +78,7 @@
     double sentLately(std::string_view hostId, MonotonicTime now);
 
     std::map<std::string, Limit, std::less<>> m_limits; // By host.
-    std::map<std::string, RecentSends, std::less<>> m_sends; // Likewise; of servers without a limit too.
+    std::map<std::string, RecentSends, std::less<>> m_sends; // By host, including servers without a limit.
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // Of the largest share: nodes that differ by less do a duty alike.
+    // Of the largest CPU share. Nodes above this ratio are treated as equally suitable.
     constexpr double largeShareRatio = 0.5;
 
     double largestShare(std::span<const DutyNode> nodes)
--- a/src/fleet/rendezvous.h
+++ b/src/fleet/rendezvous.h
@@ -8,21 +8,21 @@
 
 namespace Kumquatpick {
 
-// A node as others choose it for duties.
+// A node that can be chosen for a duty.
 struct DutyNode {
     std::string address;
     double cpuShare = 0; // Of one core.
 };
 
-// The nodes that take on a duty for the others, by rendezvous hashing: each node chooses from those that it hears, so
-// nothing has to be agreed, and one that comes or goes changes the choice only if it is chosen itself. Where views
-// differ for a moment, a node more or none may see itself as chosen; what is chosen must bear that.
+// Chooses the nodes that take on a duty for the others, by rendezvous hashing. Each node chooses among those it
+// considers alive, so no agreement is needed, and a node that joins or leaves changes the choice only if it is chosen
+// itself. While views differ, one node too many or none may consider itself chosen; every duty must tolerate that.
 //
-// Nodes with much of a core go first, and the others only where these are too few: the first plan of 760 hosts took a
-// node with a twelfth of a core over ten seconds, and its lease ran out meanwhile.
+// Nodes with a large CPU share are preferred, and the others are used only if there are too few of these: on a node
+// with a twelfth of a core, the first plan of 760 hosts took over ten seconds, and the node's lease expired meanwhile.
 std::vector<std::string> chooseNodes(std::span<const DutyNode> nodes, std::string_view duty, size_t count);
 
-// Whether its share is near the largest of these.
+// Whether the node's CPU share is at least half of the largest one.
 bool isStrong(const DutyNode&, std::span<const DutyNode> all);
 
 } // namespace Kumquatpick
--- a/src/fleet/retryallowance.cpp
+++ b/src/fleet/retryallowance.cpp
@@ -7,8 +7,8 @@
 namespace {
 
     constexpr Milliseconds bucketLength { 500 };
-    // Nodes know of each other's arrival and leaving a little late, and a node that comes back starts a window of its
-    // own; what is held back covers one such node in six.
+    // Nodes detect joins and departures with a delay, and a restarted node begins a new window. The reserve covers one
+    // such node in six.
     constexpr double usableShare = 0.8;
 
 }
@@ -27,7 +27,7 @@
     if (found == m_services.end())
         found = m_services.emplace(service, Window {}).first;
     Window& window = found->second;
-    // The last of a bucket's retries may be as much younger than its begin.
+    // The last retry of a bucket may be up to bucketLength later than the bucket's begin.
     while (!window.empty() && now - window.front().begin > m_limits.window + bucketLength)
         window.pop_front();
     if (window.empty() || now - window.back().begin >= bucketLength)
--- a/src/fleet/retryallowance.h
+++ b/src/fleet/retryallowance.h
@@ -10,26 +10,26 @@
 
 namespace Kumquatpick {
 
-// How many requests may go to a second backend server, summed over all nodes.
+// Limits on requests that may be sent to a second backend server, summed over all nodes.
 struct RetryLimits {
-    double ratio = 0.2; // Of the service's first sends.
-    double allowance = 100; // On top, in each window.
+    double ratio = 0.2; // Share of the service's first sends.
+    double allowance = 100; // Additional retries in each window.
     std::chrono::seconds window { 10 };
 };
 
-// This node's part of the fleet's limit on retries. Sliding windows by service: each node may repeat its share of
-// its own first sends and an even share of the fixed allowance, so the sum keeps the limit without any messages.
+// This node's share of the fleet's limit on retries. In a sliding window per service, each node may retry the ratio of
+// its own first sends plus an even share of the fixed allowance, so the total keeps the limit without any messages.
 class RetryAllowance {
 public:
-    // started: of this process. What the one before it repeated counts in the fleet's windows too, so the fixed
-    // allowance grows from nothing over the first window.
+    // started: when this process started. Retries of the previous process still count in the fleet's windows, so the
+    // fixed allowance ramps up from 0 over the first window.
     RetryAllowance(RetryLimits, MonotonicTime started);
 
     void setNodes(uint32_t liveNodes);
     void firstSend(std::string_view service, MonotonicTime now);
-    // Counts a repeat if the limit allows it.
+    // Counts a retry and returns true if the limit allows it.
     bool takeRetry(std::string_view service, MonotonicTime now);
-    // What could be taken now.
+    // Retries that are allowed now.
     double left(std::string_view service, MonotonicTime now);
 
 private:
--- a/src/fleet/routetable.cpp
+++ b/src/fleet/routetable.cpp
@@ -13,7 +13,7 @@
     }
 }
 
-// Prefixes end with a slash, so the candidates are the path's own beginnings up to each slash, longest first.
+// Prefixes end with a slash, so the candidates are the parts of the path up to each slash, longest first.
 const Route* RouteTable::find(std::string_view host, std::string_view path) const
 {
     auto prefixes = m_routesByHost.find(host);
--- a/src/fleet/routetable.h
+++ b/src/fleet/routetable.h
@@ -11,7 +11,7 @@
 
 namespace Kumquatpick {
 
-// A configuration indexed for lookups. Immutable: a request keeps the one it began with.
+// A configuration indexed for lookups. Immutable; a request uses the same table from start to end.
 class RouteTable {
 public:
     explicit RouteTable(FleetConfig);
@@ -19,11 +19,11 @@
     const FleetConfig& config() const { return m_config; }
     uint64_t version() const { return m_config.version; }
 
-    // The route of the host whose prefix is the longest that begins the path; nullptr if none does.
+    // The host's route with the longest matching path prefix; nullptr if none matches.
     const Route* find(std::string_view host, std::string_view path) const;
-    // The team that holds the key; nullptr if nobody does.
+    // The team that the key belongs to; nullptr if there is none.
     const TeamSpec* teamOfKey(std::string_view key) const;
-    // The service that a draw in 0..1 falls on by the route's weights; empty if none has any weight.
+    // Selects a service by the route's weights, given a random number in 0..1; empty if all weights are 0.
     static std::string_view pickService(const Route&, double draw);
 
 private:
--- a/src/fleet/servernotice.h
+++ b/src/fleet/servernotice.h
@@ -7,14 +7,14 @@
 
 namespace Kumquatpick {
 
-// What a backend server says of itself beside the answer to a request.
+// Information about a backend server itself that accompanies its answer to a request.
 struct ServerNotice {
-    bool isDraining = false; // It takes nothing more before long, and this life of it does not stay.
-    // That it takes from all nodes together; nothing if it names no limit. At least 0.
+    bool isDraining = false; // It will soon accept no more requests, and this incarnation is about to end.
+    // Limit on requests from all nodes together, at least 0; nullopt if it has no limit.
     std::optional<double> requestsPerSecond;
-    // For which this node is to send it nothing, as it refused a request; nothing if it asks for none.
+    // How long this node is to send it nothing after a refused request; nullopt if it requests no backoff.
     std::optional<Milliseconds> backoff;
-    // What can't be read and is not believed, for the log; empty if all can. It neither names nor lifts anything.
+    // Fields that could not be parsed, for the log; empty if there are none. They neither set nor lift anything.
     std::string unreadable;
 };
 
--- a/tests/fleet/backoffs_test.cpp
+++ b/tests/fleet/backoffs_test.cpp
@@ -23,7 +23,7 @@
 
 }
 
-// A server that asked for a backoff of seconds was left alone for a fraction of one.
+// Guards against a fault in which a server that requested a backoff of seconds was avoided for a fraction of a second.
 TEST_F(BackoffsTest, PreventCallsUntilTheyEnd)
 {
     m_balancer.setTargets({ plain("a"), plain("b") });
@@ -38,7 +38,7 @@
     EXPECT_TRUE(isChosen);
 }
 
-// An answer to an earlier request, or a new list of servers, says nothing of the backoff.
+// Neither an answer to an earlier request nor a new list of servers ends a backoff.
 TEST_F(BackoffsTest, EndOnlyWhenTheirTimeHasPassed)
 {
     m_balancer.setTargets({ plain("a") });
@@ -63,11 +63,11 @@
     EXPECT_EQ(backoffs.endOf("a"), start + 3s);
     backoffs.asked("a", 4s, start + 2s);
     EXPECT_EQ(backoffs.endOf("a"), start + 6s);
-    EXPECT_FALSE(backoffs.isBackedOff("b", start)) << "another life has asked for nothing";
+    EXPECT_FALSE(backoffs.isBackedOff("b", start)) << "another server has asked for nothing";
 }
 
-// Callers that are refused since every server asked for a backoff must not be told to come back before one is there
-// again.
+// Callers that are refused because every server requested a backoff must not be told to retry before the first backoff
+// ends.
 TEST_F(BackoffsTest, GiveTheEarliestEndIfAllServersAreBackedOff)
 {
     m_balancer.setTargets({ plain("a"), plain("b") });
@@ -77,7 +77,7 @@
     EXPECT_EQ(m_balancer.allBackedOffUntil("desk", {}, start), start + 3s);
     EXPECT_EQ(m_balancer.allBackedOffUntil("desk", {}, start + 3s), std::nullopt);
     EXPECT_EQ(m_balancer.allBackedOffUntil("writers", "large", start), std::nullopt)
-        << "there is none that could ask for it";
+        << "none of the servers could ask for it";
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/balancer_test.cpp
+++ b/tests/fleet/balancer_test.cpp
@@ -21,7 +21,7 @@
             return m_balancer.choose({ "writers", "large", avoid, queue }, now, m_random);
         }
 
-        // So many streams of the head that have had an event.
+        // Starts streams at the head and delivers their first event.
         void startWriting(const std::string& id, int streams)
         {
             for (int i = 0; i < streams; ++i) {
@@ -68,10 +68,10 @@
     EXPECT_EQ(choose(0, {}, start + std::chrono::seconds(5)), "a");
     m_balancer.started("a", start);
     m_balancer.ended("a", SendEnd::NotTaken, start + std::chrono::seconds(5));
-    EXPECT_EQ(choose(0, {}, start + Milliseconds(5200)), "a") << "a full server is no failed one";
+    EXPECT_EQ(choose(0, {}, start + Milliseconds(5200)), "a") << "a full server is not a failed one";
 }
 
-// A dead host is listed for some seconds more; each try costs a call the time of a connect.
+// A dead host stays listed for some seconds, and each attempt costs a call the connect time.
 TEST_F(BalancerTest, AvoidsAnUnreachableTargetForLonger)
 {
     m_balancer.setTargets({ headOf("a") });
@@ -81,7 +81,7 @@
     EXPECT_EQ(choose(0, {}, start + std::chrono::seconds(2)), "a");
 }
 
-// A replica that lost a member stops all its streams at once, while its head goes on accepting.
+// When a replica loses a member, all its streams stop at once while its head still accepts requests.
 TEST_F(BalancerTest, DetectsThatAllStreamsOfAReplicaStalled)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
@@ -125,7 +125,7 @@
     EXPECT_EQ(choose(), "a");
 }
 
-// What other nodes have there is seconds old, so a full replica may look empty: its refusal counts for more.
+// The counts of other nodes are seconds old, so a full replica may look empty. Its refusal takes precedence.
 TEST_F(BalancerTest, AvoidsAFullTargetForLongerAfterEachRefusal)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
@@ -145,8 +145,8 @@
     EXPECT_TRUE(chosen.contains("a"));
 }
 
-// 95 nodes choose by counts that are some tenths of a second old: were the emptier one always taken, all would send
-// there until they hear of each other.
+// 95 nodes choose by counts that are some tenths of a second old. If all always chose the less loaded target, all would
+// send there until their counts are updated.
 TEST_F(BalancerTest, PrefersTheLessLoadedTargetWithoutExclusiveUse)
 {
     m_balancer.setTargets({ headOf("a", "large", 14), headOf("b", "large", 14) });
@@ -155,7 +155,7 @@
     constexpr int draws = 1000;
     for (int i = 0; i < draws; ++i)
         toEmptier += choose() == "a" ? 1 : 0;
-    EXPECT_GT(toEmptier, draws * 7 / 10) << "by the square of nine free places against five";
+    EXPECT_GT(toEmptier, draws * 7 / 10) << "weighted by the square of nine free places against five";
     EXPECT_LT(toEmptier, draws * 82 / 100);
     m_balancer.setOthersInFlight({ { "a", 0 }, { "b", 13 } });
     toEmptier = 0;
@@ -164,7 +164,7 @@
     EXPECT_GT(toEmptier, draws * 98 / 100);
 }
 
-// A new list of targets must not make a node forget what a server takes.
+// A rate limit must survive a change of the target list.
 TEST_F(BalancerTest, ExcludesATargetWhoseRateLimitIsExhausted)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
--- a/tests/fleet/callpriority_test.cpp
+++ b/tests/fleet/callpriority_test.cpp
@@ -9,7 +9,7 @@
     EXPECT_LT(callPriority({ .hasBegun = true, .rank = 8 }), callPriority({ .cameBack = true }));
 }
 
-// Nobody is refused for good while others are admitted at their first try.
+// No call should be refused for good while others are admitted at their first try.
 TEST(CallPriority, CallerRetriesGoBeforeFirstTries)
 {
     EXPECT_LT(callPriority({ .cameBack = true, .rank = 8 }), callPriority({ .rank = 0 }));
--- a/tests/fleet/configcatchup_test.cpp
+++ b/tests/fleet/configcatchup_test.cpp
@@ -12,8 +12,9 @@
 
 }
 
-// Sixty nodes hear of a new version from eight peers four times a second while the store brings it to nobody. Each asks
-// once; pushed by every peer that knew an older version of the reader, the text went out up to 32 times a second.
+// Sixty nodes each learn of a new version from eight peers four times a second while the store delivers it to none.
+// Each must fetch it once. When every peer pushed the text to nodes that it knew to be behind, it was sent up to 32
+// times a second.
 TEST(ConfigCatchUp, FetchesAVersionOnceFromOnePeer)
 {
     ConfigCatchUp catchUp;
@@ -38,7 +39,7 @@
     Random random(1);
     catchUp.heard("a", true, 8, start);
     EXPECT_FALSE(catchUp.beginAsk(7, true, start + Milliseconds(200), random));
-    EXPECT_FALSE(catchUp.beginAsk(8, true, start + Milliseconds(500), random)) << "the store has brought it";
+    EXPECT_FALSE(catchUp.beginAsk(8, true, start + Milliseconds(500), random)) << "the store has delivered it";
     EXPECT_EQ(catchUp.beginAsk(7, true, start + Milliseconds(500), random), "a");
     ConfigCatchUp withoutConfig;
     withoutConfig.heard("a", true, 8, start);
@@ -49,8 +50,8 @@
         << "another node reads the store for this one";
 }
 
-// Each new version put off the ask by the time that the store is given to bring one: a node that the store had turned
-// away stayed behind for as long as changes followed each other within 0.3 s.
+// Guards against a fault in which each new version restarted the time that the store is given to deliver it: a node
+// that the store had refused stayed behind for as long as changes followed each other within 0.3 s.
 TEST(ConfigCatchUp, FetchesInTimeWhileChangesFollowEachOther)
 {
     ConfigCatchUp catchUp;
@@ -67,7 +68,7 @@
     EXPECT_LE(*askedAt - start, Milliseconds(350));
 }
 
-// The store keeps up with them: no text goes over the links twice.
+// The store keeps up with the changes, so no text is transferred twice.
 TEST(ConfigCatchUp, DoesNotFetchWhileTheStoreDeliversEachChange)
 {
     ConfigCatchUp catchUp;
@@ -80,12 +81,12 @@
     }
 }
 
-// A node that another one reads for heard of a version and asked a peer that had just been suspended. It waited for the
-// answer for 1.5 s, asked nobody else meanwhile, and had the version too late; the same as a read that is lost at the
-// store.
+// Guards against a fault in which a node that does not read the store itself fetched a version from a peer that had
+// just been suspended. It waited 1.5 s for the answer without asking another peer and got the version too late, as
+// after a read that is lost at the store.
 TEST(ConfigCatchUp, ObtainsAVersionInTimeIfTheFirstPeerIsSilent)
 {
-    constexpr Milliseconds maxGossipDelay { 450 }; // At the latest, from its acceptance on.
+    constexpr Milliseconds maxGossipDelay { 450 }; // At most, after the acceptance of a version.
     constexpr Milliseconds transferTime { 100 };
     constexpr Milliseconds maxDelay { 2000 };
     constexpr Milliseconds gossipPeriod { 250 };
@@ -119,13 +120,13 @@
         auto peer = catchUp.beginAsk(7, true, now, random);
         ASSERT_TRUE(peer);
         asked.insert(*peer);
-        EXPECT_FALSE(catchUp.beginAsk(7, true, now + Milliseconds(450), random)) << "an ask is under way";
+        EXPECT_FALSE(catchUp.beginAsk(7, true, now + Milliseconds(450), random)) << "a fetch is under way";
         catchUp.askEnded();
     }
     EXPECT_EQ(asked.size(), 2u);
 }
 
-// Bytes between zones are slow and paid for.
+// Traffic between zones is slow and paid for.
 TEST(ConfigCatchUp, PrefersItsOwnZoneAndLivePeers)
 {
     ConfigCatchUp catchUp;
--- a/tests/fleet/hosttable_test.cpp
+++ b/tests/fleet/hosttable_test.cpp
@@ -30,7 +30,7 @@
 
 }
 
-// The list is behind: what it shows just after a report is from before it.
+// The list is delayed: an entry that arrives just after a report is older than the report.
 TEST(HostTable, KeepsAReportUntilTheListCatchesUp)
 {
     HostTable table;
@@ -49,7 +49,7 @@
     EXPECT_EQ(table.find("a")->status.membership->state, MemberState::Ready);
 }
 
-// Epochs only grow within a life, whatever the delay of the list.
+// Epochs only grow within an incarnation, whatever the delay of the list.
 TEST(HostTable, NeverGoesBackToAnEarlierEpoch)
 {
     HostTable table;
@@ -71,7 +71,7 @@
     EXPECT_EQ(epochOfA(table), 3u);
 }
 
-// The list took over in between, so that nothing but the count tells that the report is from before.
+// The list took over in between, so only the order count shows that the report is outdated.
 TEST(HostTable, IgnoresADelayedReportAfterTheListTookOver)
 {
     HostTable table;
@@ -87,7 +87,7 @@
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
-// It joins that model again at once, also if it runs none now.
+// A host can join its last model again without loading, even if it runs none now.
 TEST(HostTable, KeepsTheLastModelOfAHost)
 {
     HostTable table;
@@ -101,7 +101,7 @@
     EXPECT_EQ(table.find("a")->status.lastModel, "large");
     table.unlisted("a");
     table.listed(hostWith({}), start + Milliseconds(4000));
-    EXPECT_EQ(table.find("a")->status.lastModel, "") << "an entry that lapsed may hide a restart";
+    EXPECT_EQ(table.find("a")->status.lastModel, "") << "an unlisted entry may hide a restart";
 }
 
 TEST(HostTable, IgnoresALateReport)
@@ -114,7 +114,7 @@
     EXPECT_EQ(epochOfA(table), 3u);
 }
 
-// A heartbeat without news: nothing is made anew for it, here or at nodes that read on here.
+// For an unchanged heartbeat, nothing is recomputed, neither here nor at nodes that read the list from this one.
 TEST(HostTable, KeepsItsVersionForAnUnchangedEntry)
 {
     HostTable table;
@@ -126,7 +126,7 @@
     EXPECT_GT(table.version(), version);
 }
 
-// An entry that does not change is not sent again, but the list goes on being read.
+// An unchanged entry is not sent again while the list is still being read.
 TEST(HostTable, ReturnsToAnEntryThatWasNotRepeated)
 {
     HostTable table;
@@ -139,7 +139,8 @@
     EXPECT_EQ(table.find("a")->status.membership->state, MemberState::Open);
 }
 
-// A member that lost its way to the store serves on; a head gets no more requests, as the list may mean that it drains.
+// A member that lost its connection to the store still serves. A head gets no more requests, because its removal from
+// the list may mean that it is draining.
 TEST(HostTable, CountsAnUnlistedMember)
 {
     HostTable table;
@@ -155,7 +156,7 @@
     ASSERT_EQ(table.replicas().size(), 1u);
     EXPECT_TRUE(table.replicas()[0].isWhole(2));
     table.reported("b", memberOf(2, MemberState::Joining, 5), start + Milliseconds(100));
-    EXPECT_FALSE(table.replicas()[0].isWhole(2)) << "it went to another replica";
+    EXPECT_FALSE(table.replicas()[0].isWhole(2)) << "it joined another replica";
     table.listed(member, start + Milliseconds(200));
     table.unlisted("b");
     table.expireReports(start + Milliseconds(16'000));
@@ -164,7 +165,7 @@
     EXPECT_TRUE(table.replicas().empty());
 }
 
-// The entry of the earlier life goes only some seconds after the host has started again.
+// The entry of the earlier incarnation is removed only some seconds after the host has restarted.
 TEST(HostTable, DropsTheEarlierIncarnationAtAnAddress)
 {
     HostTable table;
@@ -181,7 +182,7 @@
     EXPECT_NE(table.find("a-again"), nullptr);
 }
 
-// The later life knows nothing of before; what comes late of the earlier one changes nothing.
+// The later incarnation has no earlier state, and late messages of the earlier one have no effect.
 TEST(HostTable, DistinguishesIncarnationsOfOneName)
 {
     HostTable table;
@@ -206,7 +207,7 @@
     EXPECT_FALSE(table.findByName("a")->status.membership);
     table.unlisted(later.id);
     table.listed(earlier, start + Milliseconds(600));
-    EXPECT_TRUE(table.hosts().empty()) << "an earlier life, also after the later one has gone";
+    EXPECT_TRUE(table.hosts().empty()) << "an earlier start, also after the later one has gone";
 }
 
 TEST(HostTable, GroupsTheMembersOfAReplica)
@@ -227,7 +228,7 @@
     EXPECT_EQ(table.replicas()[0].head, nullptr);
 }
 
-// A host that said it drains was used again once its entry, which did not say so, came in.
+// Guards against a fault in which a host that reported draining was used again when its entry arrived without the flag.
 TEST(HostTable, KeepsAHostDrainingWhateverItsEntrySays)
 {
     HostTable table;
@@ -236,18 +237,18 @@
     EXPECT_TRUE(table.saidDraining("a"));
     EXPECT_FALSE(table.saidDraining("a")) << "it was known";
     EXPECT_TRUE(table.find("a")->draining);
-    EXPECT_GT(table.version(), before) << "what is made of the table is made anew";
+    EXPECT_GT(table.version(), before) << "views of the table are rebuilt";
     before = table.version();
     EXPECT_FALSE(table.listed(hostWith(memberOf(1, MemberState::Open)), start + Milliseconds(1200)));
     EXPECT_TRUE(table.find("a")->draining);
     EXPECT_EQ(table.version(), before);
     table.unlisted("a");
     table.listed(hostWith(memberOf(2, MemberState::Open)), start + Milliseconds(3000));
-    EXPECT_TRUE(table.find("a")->draining) << "the same life";
+    EXPECT_TRUE(table.find("a")->draining) << "the same process";
     Host next = hostWith(memberOf(3, MemberState::Open));
     next.id = lifeId("a", 1000);
     table.listed(next, start + Milliseconds(9000));
-    EXPECT_FALSE(table.findByName("a")->draining) << "another life has not said so";
+    EXPECT_FALSE(table.findByName("a")->draining) << "a restarted process has not said so";
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/loadboard_test.cpp
+++ b/tests/fleet/loadboard_test.cpp
@@ -27,10 +27,10 @@
     board.nodeTold("a", { { "head-1", 3 } }, start);
     board.nodeTold("a", {}, start + Milliseconds(200));
     EXPECT_TRUE(board.zoneTotal(start + Milliseconds(200)).empty());
-    EXPECT_TRUE(board.isUsed(start + Milliseconds(200))) << "a node without calls is heard all the same";
+    EXPECT_TRUE(board.isUsed(start + Milliseconds(200))) << "a node without calls reports all the same";
 }
 
-// A node that ended, or a zone that is cut off, holds no places for ever.
+// The requests of a node that stopped, or of a zone that is partitioned, must not count forever.
 TEST(LoadBoard, DropsSilentSenders)
 {
     LoadBoard board;
--- a/tests/fleet/logreads_test.cpp
+++ b/tests/fleet/logreads_test.cpp
@@ -12,23 +12,23 @@
 
     constexpr MonotonicTime start { std::chrono::hours(1) };
     constexpr Milliseconds storeAnswerTime { 4 };
-    // In which a change must be in force at every node that is in touch with the store.
+    // Within which a change must take effect at every node that is connected to the store.
     constexpr Milliseconds maxDelay { 2000 };
-    // By a node that follows the log to one that asks it for news some times a second.
+    // From a node that follows the log to one that polls it several times a second.
     constexpr Milliseconds forwardingDelay { 450 };
 
-    // While it lasts the store answers nobody, neither calls that come nor those that wait.
+    // An outage during which the store answers neither new nor waiting calls.
     struct Outage {
         MonotonicTime from;
         MonotonicTime until;
     };
 
-    // One node that follows a log, from start on.
+    // A node that follows a log from the time start.
     struct Follower {
         LogReads reads;
-        double draw = 1; // Longest pauses.
+        double draw = 1; // 1 gives the longest pauses.
 
-        // When it reads each of the records, which the store accepts at these times in order.
+        // The times at which the node reads the records that the store accepts at the given times, in order.
         std::vector<MonotonicTime> readTimes(
             const std::vector<MonotonicTime>& accepted, const std::vector<Outage>& silences)
         {
@@ -52,7 +52,7 @@
         }
     };
 
-    // How long after the store accepted it, or came back, the node read a record; the longest.
+    // The longest time between the store's acceptance of a record and the node's read of it.
     Milliseconds longestDelay(
         Follower follower, const std::vector<MonotonicTime>& accepted, const std::vector<Outage>& silences)
     {
@@ -65,13 +65,12 @@
 
 }
 
-// Callers were served by old versions of the configuration, over two seconds after the store had accepted newer ones.
-// The store had been silent for 6 s and had served every call for 3 s since. Every node's read of the configuration,
-// which the store may hold for seconds, had been lost in the same moment, and so had the next one, sent shortly before
-// the store was back: it blinded its node for the 4.7 s until it was given up, while reads of the list of hosts were
-// answered. Each node's lines said so: two reads that waited for 4.70 s, with 0.1 s between them, and all versions in
-// one go after them. Here the store falls silent at each moment of a read and for each time up to 12 s, and accepts a
-// change as soon as it is back.
+// Guards against a fault in which callers were served by old configurations more than 2 s after the store had accepted
+// newer ones. The store was down for 6 s. Every node lost the read that the store was holding, and also the next one,
+// sent shortly before the store recovered: it blocked its node until its time-out of 4.7 s, although the store had been
+// serving every call for 3 s and answered reads of the host list. The logs showed two reads of 4.70 s, 0.1 s apart, and
+// then all versions at once. The test starts an outage at every point of a read, with every length up to 12 s, and has
+// the store accept a change as soon as it recovers.
 TEST(LogReads, ReadsEachRecordInTimeAfterAnOutageOfAnyLength)
 {
     constexpr Milliseconds timeStep { 100 };
@@ -88,8 +87,8 @@
     }
 }
 
-// The store may fall silent again before nodes have recovered, and change often; no record is late that it accepted
-// while it served.
+// With repeated outages, before nodes have recovered, and frequent changes, no record is late that the store accepted
+// while it was serving.
 RC_GTEST_PROP(LogReads, ReadsEachRecordOfAServingStoreInTime, ())
 {
     auto within = Milliseconds(*rc::gen::inRange(2000, 6000));
@@ -99,7 +98,7 @@
     for (int i = *rc::gen::inRange(1, 5); i > 0; --i) {
         Outage silence { now + Milliseconds(*rc::gen::inRange(0, 9000)), {} };
         silence.until = silence.from + Milliseconds(*rc::gen::inRange(1, 12'000));
-        // Served for long enough before the next one that each change must have arrived.
+        // The store serves long enough before the next outage that each change must have arrived.
         now = silence.until;
         for (int changes = *rc::gen::inRange(1, 6); changes > 0; --changes) {
             accepted.push_back(now);
--- a/tests/fleet/looppauses_test.cpp
+++ b/tests/fleet/looppauses_test.cpp
@@ -21,7 +21,7 @@
     EXPECT_EQ(pauses.since(start, at(5500)), MonotonicTime::duration(0));
 }
 
-// A call asked at 100 whose time-out at 200 was only looked at after a pause from 150 to 900.
+// A call starts at 100, and its time-out at 200 is evaluated only after a pause from 150 to 900.
 TEST(LoopPauses, MeasuresThePauseWithinACall)
 {
     LoopPauses pauses;
@@ -30,7 +30,7 @@
     pauses.fired(at(900), at(950));
     EXPECT_EQ(pauses.latest(), Milliseconds(750));
     EXPECT_EQ(pauses.since(at(100), at(910)), Milliseconds(750));
-    EXPECT_EQ(pauses.since(at(800), at(910)), Milliseconds(100)) << "only what falls into the call";
+    EXPECT_EQ(pauses.since(at(800), at(910)), Milliseconds(100)) << "only the overlap with the call";
     EXPECT_EQ(pauses.since(at(905), at(910)), Milliseconds(0));
 }
 
--- a/tests/fleet/ordercounts_test.cpp
+++ b/tests/fleet/ordercounts_test.cpp
@@ -42,7 +42,7 @@
 
 }
 
-// A join of it has this as its condition, so a host that took an order nobody here knows of refuses.
+// The count is the condition of the next join, so a host that accepted an unknown order refuses it.
 TEST_F(OrderCountsTest, AssumesNoOrdersForABlankHost) { EXPECT_EQ(counts.known(hosts, "a"), 0u); }
 
 TEST_F(OrderCountsTest, HasNoCountBeforeAReport)
@@ -58,7 +58,7 @@
     EXPECT_EQ(counts.known(hosts, "a"), 7u);
 }
 
-// Reports are some 200 ms behind: without this, each move of a host would wait for one.
+// Reports lag by about 200 ms; without this count, each move of a host would wait for one.
 TEST_F(OrderCountsTest, CountsOrdersThatTheHostStarted)
 {
     report(1, start);
@@ -67,23 +67,23 @@
     runOrder(OrderKind::Join, OrderResult::Holds, start + Milliseconds(30));
     EXPECT_EQ(counts.known(hosts, "a"), 3u);
     report(1, start + Milliseconds(25));
-    EXPECT_EQ(counts.known(hosts, "a"), 3u) << "the report is of before the last order's end";
+    EXPECT_EQ(counts.known(hosts, "a"), 3u) << "the report is older than the last order's end";
     report(4, start + Milliseconds(40));
-    EXPECT_EQ(counts.known(hosts, "a"), 4u) << "somebody else gave an order";
+    EXPECT_EQ(counts.known(hosts, "a"), 4u) << "another sender gave an order";
 }
 
-// A leave is answered alike whether the host was a member or not, but only a member counts it. Wrong guesses once kept
-// a pool of staged hosts idle for ten seconds: each round of joins failed at the hosts that were guessed wrong.
+// A leave is answered the same way whether or not the host was a member, but only a member counts it. Wrong guesses
+// kept a pool of staged hosts idle for ten seconds: each round of joins failed at the hosts whose count was wrong.
 TEST_F(OrderCountsTest, CountsALeaveOnlyOfAMember)
 {
     report(1, start);
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(10));
-    EXPECT_EQ(counts.known(hosts, "a"), 1u) << "it reported that it is none";
+    EXPECT_EQ(counts.known(hosts, "a"), 1u) << "it reported that it is member of none";
     runOrder(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(20));
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(30));
     EXPECT_EQ(counts.known(hosts, "a"), 3u) << "it had accepted the join, though no report shows that yet";
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(40));
-    EXPECT_FALSE(counts.known(hosts, "a")) << "not certain any more";
+    EXPECT_FALSE(counts.known(hosts, "a")) << "no longer certain";
     report(3, start + Milliseconds(50), Membership { "replica", 6, 0, MemberState::Ready });
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(60), 6);
     EXPECT_EQ(counts.known(hosts, "a"), 4u);
@@ -98,7 +98,7 @@
         runOrder(OrderKind::Join, result, at + Milliseconds(10));
         EXPECT_FALSE(counts.known(hosts, "a")) << name(result);
         report(orders, at + Milliseconds(5));
-        EXPECT_FALSE(counts.known(hosts, "a")) << name(result) << ", a report of before";
+        EXPECT_FALSE(counts.known(hosts, "a")) << name(result) << ", an older report";
         report(++orders, at + Milliseconds(20));
         EXPECT_EQ(counts.known(hosts, "a"), orders) << name(result);
     }
--- a/tests/fleet/patienceprofile_test.cpp
+++ b/tests/fleet/patienceprofile_test.cpp
@@ -16,8 +16,8 @@
 
 }
 
-// Callers with 85 to 100 in 100 of the longest patience, as phones set their timers; one in six comes back after a
-// refusal with a second and more less.
+// Callers have 85 to 100% of the longest timeout, as phones set their timers. One in six calls is a retry after a
+// refusal and has 1.5 to 3 s less.
 TEST(PatienceProfile, IgnoresTheUsualSpread)
 {
     PatienceProfile profile;
--- a/tests/fleet/ratelimits_test.cpp
+++ b/tests/fleet/ratelimits_test.cpp
@@ -12,14 +12,15 @@
     constexpr MonotonicTime start { std::chrono::hours(1) };
     const std::vector<DutyNode> alone { { "node-1", 1 } };
 
-    // Of all nodes, for a server that is one of many.
+    // Calls per second of all nodes for one server among many.
     double callsFor(double limit) { return 5 * limit + 5; }
-    // Where others are full, each node would send the server what calls it has.
+    // While the other servers are full, every node would send all its calls to this server.
     double callsWhereOthersAreFull(size_t nodes) { return 4.0 * static_cast<double>(nodes); }
 
 }
 
-// A server in need got from the whole fleet what it took before: nobody kept the limit that it named.
+// Guards against a fault in which no node kept an announced limit: an overloaded server received as much from the whole
+// fleet as before.
 TEST(RateLimits, AreKeptByAllNodesTogether)
 {
     for (size_t nodes : { 1U, 6U, 95U, 300U }) {
@@ -36,7 +37,7 @@
     }
 }
 
-// Where the other servers are full, what a server in need still takes is not left to lie.
+// While the other servers are full, the capacity that a limited server still has is used.
 TEST(RateLimits, AreUsedWhileOtherServersAreFull)
 {
     for (size_t nodes : { 6U, 95U, 300U }) {
@@ -50,7 +51,7 @@
     }
 }
 
-// What a node sent before it heard of the limit counts at the server too.
+// Requests that a node sent before it learned of the limit count as well.
 TEST(RateLimits, CountRequestsSentJustBefore)
 {
     for (size_t nodes : { 6U, 95U }) {
@@ -98,7 +99,7 @@
     }
 }
 
-// One that starts again knows nothing, and hears of the limit by its first request at the latest.
+// A restarted node has no state and learns of the limit from the answer to its first request at the latest.
 TEST(RateLimits, AreKeptWhileNodesRestart)
 {
     RateLimitSimulation world(6, callsFor(1.8), 7);
@@ -127,7 +128,7 @@
     EXPECT_GE(world.arrivedSince(world.now - 2s), 40U);
 }
 
-// Answers overtake each other: one to an earlier request says nothing of what was named since.
+// Answers may arrive out of order: one to an earlier request does not lift a limit that was announced later.
 TEST(RateLimits, AreNotLiftedByAnAnswerToAnEarlierRequest)
 {
     RateLimits limits;
@@ -159,7 +160,7 @@
     EXPECT_FALSE(limits.told({ "b", std::nullopt, 0ms }, start + 2s));
 }
 
-// A server that took nothing, and was not asked since, is tried again.
+// A server with a limit of 0 that received no requests since is tried again.
 TEST(RateLimits, ExpireWhenNotAnnouncedAgain)
 {
     RateLimits limits;
--- a/tests/fleet/ratelimitsimulation.h
+++ b/tests/fleet/ratelimitsimulation.h
@@ -16,14 +16,14 @@
 
 namespace Kumquatpick {
 
-// Nodes that have calls for one server, which may name a limit in its answers, and that tell each other what they know
-// by asking some others now and then. Time passes in steps.
+// Simulates nodes with calls for one server, which may announce a limit in its answers. The nodes periodically pull
+// known limits from some peers. Time advances in fixed steps.
 class RateLimitSimulation {
 public:
     struct Arrival {
         MonotonicTime at;
         size_t node;
-        bool knewLimit; // The node had passed on an answer with a limit half a second before or earlier.
+        bool knewLimit; // The node had received an answer with a limit at least half a second earlier.
     };
 
     RateLimitSimulation(size_t nodes, double callsPerSecond, uint64_t seed)
@@ -61,7 +61,7 @@
         m_nodes[node].isAlive = false;
         m_nodes[node].stoppedAt = now;
     }
-    // Empty, as after a start.
+    // With empty state, as after a process start.
     void restart(size_t node)
     {
         m_nodes[node].isAlive = true;
@@ -77,8 +77,8 @@
         return most == counts.end() || most->second == 0 ? std::nullopt : std::optional(most->first);
     }
 
-    // The most that arrived in any span of four seconds that ends after the nodes had time to learn of the limit, from
-    // nodes that had passed on an answer that names it; those that were excused are left out.
+    // The maximum number of arrivals in any window of four seconds that ends after the nodes had time to learn of the
+    // limit. Only arrivals from nodes that knew the limit count, and none from the excused nodes.
     size_t maxInWindow(const std::set<size_t>& excused = {}) const
     {
         std::deque<MonotonicTime> inSpan;
@@ -113,18 +113,18 @@
     MonotonicTime now { std::chrono::hours(1) };
     MonotonicTime limitedSince {};
     std::vector<Arrival> arrivals;
-    // Whether one node takes another one for alive.
+    // Whether one node considers another one alive.
     std::function<bool(size_t node, size_t other)> considersAlive;
-    // Whether one node's question reaches another one.
+    // Whether one node's request reaches another one.
     std::function<bool(size_t node, size_t other)> canReach = [](size_t, size_t) { return true; };
 
 private:
     static constexpr Milliseconds step { 10 };
     static constexpr Milliseconds answerDelay { 150 };
-    static constexpr Milliseconds failureDetectionDelay { 1500 }; // That a node is gone.
+    static constexpr Milliseconds failureDetectionDelay { 1500 }; // Until the other nodes consider a stopped node dead.
     static constexpr Milliseconds learningTime { 3000 };
     static constexpr Milliseconds reactionTime { 500 };
-    static constexpr int askInterval = 25; // Steps.
+    static constexpr int askInterval = 25; // In steps.
     static constexpr int assignmentInterval = 100;
     static constexpr size_t peersPerRound = 8;
     static constexpr const char* server = "server-1";
--- a/tests/fleet/rendezvous_test.cpp
+++ b/tests/fleet/rendezvous_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_EQ(chooseNodes(nodes(1), "hosts", 2).size(), 1u);
 }
 
-// A node that falls silent is replaced; the other keeps its duty.
+// A node that is lost is replaced; the other one keeps its duty.
 TEST(Rendezvous, ReplacesOnlyTheLostNode)
 {
     auto seen = nodes(20);
@@ -47,7 +47,7 @@
     EXPECT_GT(duties.size(), 15u);
 }
 
-// Fifteen of 95 nodes have four times the processor of the others.
+// 15 of 95 nodes have about four times the CPU share of the others.
 TEST(Rendezvous, PrefersNodesWithALargeCpuShare)
 {
     auto seen = nodes(95, 0.12);
--- a/tests/fleet/retryallowance_test.cpp
+++ b/tests/fleet/retryallowance_test.cpp
@@ -20,7 +20,7 @@
 
 }
 
-// A process that was just started does not know what the one before it repeated.
+// A process that has just started does not know the retries of the previous one.
 TEST(RetryAllowance, RampsUpFromZero)
 {
     RetryAllowance allowance(limits, start);
@@ -32,20 +32,20 @@
 {
     RetryAllowance allowance(limits, start - std::chrono::hours(1));
     allowance.setNodes(10);
-    EXPECT_EQ(takeAll(allowance, start), 8) << "a tenth of 100, less what is held back";
+    EXPECT_EQ(takeAll(allowance, start), 8) << "a tenth of 100, less the reserve";
     for (int i = 0; i < 100; ++i)
         allowance.firstSend("desk", start);
     EXPECT_EQ(takeAll(allowance, start), 16);
-    EXPECT_FALSE(allowance.takeRetry("other", start) && takeAll(allowance, start) > 0) << "services count apart";
+    EXPECT_FALSE(allowance.takeRetry("other", start) && takeAll(allowance, start) > 0) << "services count separately";
 }
 
-// In no window do the repeats of all nodes pass the fleet's limit.
+// The retries of all nodes never exceed the fleet's limit in any window.
 RC_GTEST_PROP(RetryAllowance, KeepsTheLimitInEachWindow, (const std::vector<uint8_t>& pauses))
 {
     RetryAllowance allowance(limits, start - std::chrono::hours(1));
     allowance.setNodes(1);
     MonotonicTime now = start;
-    std::vector<std::pair<MonotonicTime, bool>> events; // Whether it was a repeat.
+    std::vector<std::pair<MonotonicTime, bool>> events; // Time, and whether it was a retry.
     for (uint8_t pause : pauses) {
         now += Milliseconds(pause * 10);
         allowance.firstSend("desk", now);
@@ -57,7 +57,7 @@
         double first = 0;
         double repeats = 0;
         for (const auto& [at, repeated] : events) {
-            // First sends of the window before count as well.
+            // First sends of the previous window count as well.
             first += !repeated && at > begin - limits.window && at <= begin + limits.window ? 1 : 0;
             repeats += repeated && at >= begin && at < begin + limits.window ? 1 : 0;
         }
