--- a/tests/fleet/callpriority_test.cpp
+++ b/tests/fleet/callpriority_test.cpp
@@ -6,13 +6,13 @@
 
 TEST(CallPriority, StartedStreamsGoFirst)
 {
-    EXPECT_LT(callPriority({ .hasBegun = true, .rank = 8 }), callPriority({ .cameBack = true }));
+    EXPECT_LT(callPriority({ .hasStarted = true, .rank = 8 }), callPriority({ .isCallerRetry = true }));
 }
 
 // No call should be refused for good while others are admitted at their first try.
 TEST(CallPriority, CallerRetriesGoBeforeFirstTries)
 {
-    EXPECT_LT(callPriority({ .cameBack = true, .rank = 8 }), callPriority({ .rank = 0 }));
+    EXPECT_LT(callPriority({ .isCallerRetry = true, .rank = 8 }), callPriority({ .rank = 0 }));
 }
 
 TEST(CallPriority, KeepsTheOrderOfRanksWithinNineSteps)
