--- a/src/fleet/balancer.h
+++ b/src/fleet/balancer.h
@@ -98,7 +98,7 @@
         int writing = 0;
         double gapMs = 0; // Mean time between arrivals of data while streams are active; 0 until known.
         double failures = 0; // Decays with successes.
-        int refusals = 0; // Because the target was full.
+        int refusals = 0; // Consecutive, because the target was full.
         MonotonicTime fullUntil {};
         MonotonicTime lastArrival {};
         MonotonicTime avoidUntil {};
--- a/src/fleet/hosttable.h
+++ b/src/fleet/hosttable.h
@@ -88,7 +88,7 @@
     std::map<std::string, Lapsed, std::less<>> m_lapsed; // By host incarnation; heads are not kept.
     std::map<std::string, uint64_t, std::less<>> m_firstSeen; // Order of appearance; small, never pruned.
     std::map<std::string, std::string, std::less<>> m_newestLife; // Incarnation id by host name; never pruned.
-    std::set<std::string, std::less<>> m_saidDraining; // Small, never pruned.
+    std::set<std::string, std::less<>> m_saidDraining; // Incarnation ids; small, never pruned.
     MonotonicTime m_listReadAt {};
     uint64_t m_version = 0;
 };
