--- a/tests/fleet/balancer_test.cpp
+++ b/tests/fleet/balancer_test.cpp
@@ -21,7 +21,7 @@
             return m_balancer.choose({ "writers", "large", avoid, queue }, now, m_random);
         }
 
-        // So many streams of the head that have had an event.
+        // Starts streams at the head and delivers their first event.
         void startWriting(const std::string& id, int streams)
         {
             for (int i = 0; i < streams; ++i) {
@@ -37,7 +37,7 @@
 
 }
 
-TEST_F(BalancerTest, ChoosesOnlyWhatServesTheModelAndHasRoom)
+TEST_F(BalancerTest, ChoosesOnlyTargetsOfTheModelWithCapacity)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b", "small") });
     for (int i = 0; i < 4; ++i) {
@@ -51,7 +51,7 @@
     EXPECT_EQ(choose(), "a");
 }
 
-TEST_F(BalancerTest, CountsWhatOtherNodesHaveThere)
+TEST_F(BalancerTest, CountsRequestsOfOtherNodes)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     m_balancer.setOthersInFlight({ { "a", 4 } });
@@ -59,7 +59,7 @@
         EXPECT_EQ(choose(), "b");
 }
 
-TEST_F(BalancerTest, KeepsOffATargetThatFailedForAWhile)
+TEST_F(BalancerTest, AvoidsAFailedTargetTemporarily)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
@@ -68,11 +68,11 @@
     EXPECT_EQ(choose(0, {}, start + std::chrono::seconds(5)), "a");
     m_balancer.started("a", start);
     m_balancer.ended("a", SendEnd::NotTaken, start + std::chrono::seconds(5));
-    EXPECT_EQ(choose(0, {}, start + Milliseconds(5200)), "a") << "a full server is no failed one";
+    EXPECT_EQ(choose(0, {}, start + Milliseconds(5200)), "a") << "a full server is not a failed one";
 }
 
-// A dead host is listed for some seconds more; each try costs a call the time of a connect.
-TEST_F(BalancerTest, KeepsOffAnUnreachableTargetForLonger)
+// A dead host stays listed for some seconds, and each attempt costs a call the connect time.
+TEST_F(BalancerTest, AvoidsAnUnreachableTargetForLonger)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
@@ -81,8 +81,8 @@
     EXPECT_EQ(choose(0, {}, start + std::chrono::seconds(2)), "a");
 }
 
-// A replica that lost a member stops all its streams at once, while its head goes on accepting.
-TEST_F(BalancerTest, SeesThatAllStreamsOfAReplicaStandStill)
+// When a replica loses a member, all its streams stop at once while its head still accepts requests.
+TEST_F(BalancerTest, DetectsThatAllStreamsOfAReplicaStalled)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     startWriting("a", 2);
@@ -96,7 +96,7 @@
     EXPECT_EQ(m_balancer.standingStill(start + Milliseconds(1310)), std::vector<std::string> { "a" });
 }
 
-TEST_F(BalancerTest, GivesOneStreamAloneMoreTime)
+TEST_F(BalancerTest, AllowsALongerGapForASingleStream)
 {
     m_balancer.setTargets({ headOf("a") });
     startWriting("a", 1);
@@ -106,14 +106,14 @@
     EXPECT_FALSE(m_balancer.standingStill(start + Milliseconds(1700)).empty());
 }
 
-TEST_F(BalancerTest, NothingIsDueBeforeTheFirstEvent)
+TEST_F(BalancerTest, DetectsNoStallBeforeTheFirstEvent)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
     EXPECT_TRUE(m_balancer.standingStill(start + std::chrono::seconds(5)).empty());
 }
 
-TEST_F(BalancerTest, CountsRequestsOfATargetThatLeft)
+TEST_F(BalancerTest, CountsRequestsOfARemovedTarget)
 {
     m_balancer.setTargets({ headOf("a") });
     m_balancer.started("a", start);
@@ -125,8 +125,8 @@
     EXPECT_EQ(choose(), "a");
 }
 
-// What other nodes have there is seconds old, so a full replica may look empty: its refusal counts for more.
-TEST_F(BalancerTest, LeavesAFullTargetAloneForLongerWithEachRefusal)
+// The counts of other nodes are seconds old, so a full replica may look empty. Its refusal takes precedence.
+TEST_F(BalancerTest, AvoidsAFullTargetForLongerAfterEachRefusal)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     m_balancer.started("a", start);
@@ -145,9 +145,9 @@
     EXPECT_TRUE(chosen.contains("a"));
 }
 
-// 95 nodes choose by counts that are some tenths of a second old: were the emptier one always taken, all would send
-// there until they hear of each other.
-TEST_F(BalancerTest, PrefersTheEmptierTargetWithoutSendingEverythingThere)
+// 95 nodes choose by counts that are some tenths of a second old. If all always chose the less loaded target, all would
+// send there until their counts are updated.
+TEST_F(BalancerTest, PrefersTheLessLoadedTargetWithoutExclusiveUse)
 {
     m_balancer.setTargets({ headOf("a", "large", 14), headOf("b", "large", 14) });
     m_balancer.setOthersInFlight({ { "a", 5 }, { "b", 9 } });
@@ -155,7 +155,7 @@
     constexpr int draws = 1000;
     for (int i = 0; i < draws; ++i)
         toEmptier += choose() == "a" ? 1 : 0;
-    EXPECT_GT(toEmptier, draws * 7 / 10) << "by the square of nine free places against five";
+    EXPECT_GT(toEmptier, draws * 7 / 10) << "weighted by the square of nine free places against five";
     EXPECT_LT(toEmptier, draws * 82 / 100);
     m_balancer.setOthersInFlight({ { "a", 0 }, { "b", 13 } });
     toEmptier = 0;
@@ -164,8 +164,8 @@
     EXPECT_GT(toEmptier, draws * 98 / 100);
 }
 
-// A new list of targets must not make a node forget what a server takes.
-TEST_F(BalancerTest, LeavesOutATargetWhoseLimitIsUsedUp)
+// A rate limit must survive a change of the target list.
+TEST_F(BalancerTest, ExcludesATargetWhoseRateLimitIsExhausted)
 {
     m_balancer.setTargets({ headOf("a"), headOf("b") });
     m_balancer.limits().answered("a", 0.5, start, start);
--- a/tests/fleet/hosttable_test.cpp
+++ b/tests/fleet/hosttable_test.cpp
@@ -30,8 +30,8 @@
 
 }
 
-// The list is behind: what it shows just after a report is from before it.
-TEST(HostTable, KeepsAReportThatTheListHasNotCaughtUpWith)
+// The list is delayed: an entry that arrives just after a report is older than the report.
+TEST(HostTable, KeepsAReportUntilTheListCatchesUp)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -40,7 +40,7 @@
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
-TEST(HostTable, TakesTheListOnceItHadTimeToFollow)
+TEST(HostTable, UsesTheListOnceItHadTimeToCatchUp)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -49,7 +49,7 @@
     EXPECT_EQ(table.find("a")->status.membership->state, MemberState::Ready);
 }
 
-// Epochs only grow within a life, whatever the delay of the list.
+// Epochs only grow within an incarnation, whatever the delay of the list.
 TEST(HostTable, NeverGoesBackToAnEarlierEpoch)
 {
     HostTable table;
@@ -60,7 +60,7 @@
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
-TEST(HostTable, ComesBackToTheListWhenReportsStop)
+TEST(HostTable, ReturnsToTheListWhenReportsStop)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -71,8 +71,8 @@
     EXPECT_EQ(epochOfA(table), 3u);
 }
 
-// The list took over in between, so that nothing but the count tells that the report is from before.
-TEST(HostTable, IgnoresAReportThatWasHeldUpUntilTheListTookOver)
+// The list took over in between, so only the order count shows that the report is outdated.
+TEST(HostTable, IgnoresADelayedReportAfterTheListTookOver)
 {
     HostTable table;
     table.listed(hostWith({}), start);
@@ -80,15 +80,15 @@
     table.listed(hostWith(memberOf(2, MemberState::Open)), start + Milliseconds(3000));
     ASSERT_FALSE(table.find("a")->status.ordersAccepted);
     EXPECT_EQ(table.ordersAccepted("a"), 4u);
-    HostStatus heldUp;
-    heldUp.ordersAccepted = 3;
-    table.reported("a", heldUp, start + Milliseconds(3100));
+    HostStatus delayed;
+    delayed.ordersAccepted = 3;
+    table.reported("a", delayed, start + Milliseconds(3100));
     ASSERT_TRUE(table.find("a")->status.membership);
     EXPECT_EQ(epochOfA(table), 2u);
 }
 
-// It joins that model again at once, also if it runs none now.
-TEST(HostTable, RemembersTheModelThatAHostRanLast)
+// A host can join its last model again without loading, even if it runs none now.
+TEST(HostTable, KeepsTheLastModelOfAHost)
 {
     HostTable table;
     HostStatus member = memberOf(1, MemberState::Ready);
@@ -101,7 +101,7 @@
     EXPECT_EQ(table.find("a")->status.lastModel, "large");
     table.unlisted("a");
     table.listed(hostWith({}), start + Milliseconds(4000));
-    EXPECT_EQ(table.find("a")->status.lastModel, "") << "an entry that lapsed may hide a restart";
+    EXPECT_EQ(table.find("a")->status.lastModel, "") << "an unlisted entry may hide a restart";
 }
 
 TEST(HostTable, IgnoresALateReport)
@@ -114,8 +114,8 @@
     EXPECT_EQ(epochOfA(table), 3u);
 }
 
-// A heartbeat without news: nothing is made anew for it, here or at nodes that read on here.
-TEST(HostTable, KeepsItsVersionWhenAnEntrySaysNothingNew)
+// For an unchanged heartbeat, nothing is recomputed, neither here nor at nodes that read the list from this one.
+TEST(HostTable, KeepsItsVersionForAnUnchangedEntry)
 {
     HostTable table;
     EXPECT_TRUE(table.listed(hostWith(memberOf(1, MemberState::Open)), start));
@@ -126,8 +126,8 @@
     EXPECT_GT(table.version(), version);
 }
 
-// An entry that does not change is not sent again, but the list goes on being read.
-TEST(HostTable, ComesBackToAnEntryThatDidNotComeAgain)
+// An unchanged entry is not sent again while the list is still being read.
+TEST(HostTable, ReturnsToAnEntryThatWasNotRepeated)
 {
     HostTable table;
     table.listed(hostWith(memberOf(3, MemberState::Open)), start);
@@ -139,8 +139,9 @@
     EXPECT_EQ(table.find("a")->status.membership->state, MemberState::Open);
 }
 
-// A member that lost its way to the store serves on; a head gets no more requests, as the list may mean that it drains.
-TEST(HostTable, CountsAMemberThatTheListDropped)
+// A member that lost its connection to the store still serves. A head gets no more requests, because its removal from
+// the list may mean that it is draining.
+TEST(HostTable, CountsAnUnlistedMember)
 {
     HostTable table;
     Host head = hostWith(memberOf(1, MemberState::Open));
@@ -155,7 +156,7 @@
     ASSERT_EQ(table.replicas().size(), 1u);
     EXPECT_TRUE(table.replicas()[0].isWhole(2));
     table.reported("b", memberOf(2, MemberState::Joining, 5), start + Milliseconds(100));
-    EXPECT_FALSE(table.replicas()[0].isWhole(2)) << "it went to another replica";
+    EXPECT_FALSE(table.replicas()[0].isWhole(2)) << "it joined another replica";
     table.listed(member, start + Milliseconds(200));
     table.unlisted("b");
     table.expireReports(start + Milliseconds(16'000));
@@ -164,8 +165,8 @@
     EXPECT_TRUE(table.replicas().empty());
 }
 
-// The entry of the earlier life goes only some seconds after the host has started again.
-TEST(HostTable, DropsTheEarlierLifeAtAnAddress)
+// The entry of the earlier incarnation is removed only some seconds after the host has restarted.
+TEST(HostTable, DropsTheEarlierIncarnationAtAnAddress)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -181,8 +182,8 @@
     EXPECT_NE(table.find("a-again"), nullptr);
 }
 
-// The later life knows nothing of before; what comes late of the earlier one changes nothing.
-TEST(HostTable, TellsTheLivesUnderOneNameApart)
+// The later incarnation has no earlier state, and late messages of the earlier one have no effect.
+TEST(HostTable, DistinguishesIncarnationsOfOneName)
 {
     HostTable table;
     Host earlier = hostWith(memberOf(1, MemberState::Open));
@@ -206,10 +207,10 @@
     EXPECT_FALSE(table.findByName("a")->status.membership);
     table.unlisted(later.id);
     table.listed(earlier, start + Milliseconds(600));
-    EXPECT_TRUE(table.hosts().empty()) << "an earlier life, also after the later one has gone";
+    EXPECT_TRUE(table.hosts().empty()) << "an earlier start, also after the later one has gone";
 }
 
-TEST(HostTable, GathersTheMembersOfAReplica)
+TEST(HostTable, GroupsTheMembersOfAReplica)
 {
     HostTable table;
     Host head = hostWith(memberOf(1, MemberState::Open));
@@ -227,8 +228,8 @@
     EXPECT_EQ(table.replicas()[0].head, nullptr);
 }
 
-// A host that said it drains was used again once its entry, which did not say so, came in.
-TEST(HostTable, BelievesAHostThatSaysItDrainsWhateverItsEntrySays)
+// Guards against a fault in which a host that reported draining was used again when its entry arrived without the flag.
+TEST(HostTable, KeepsAHostDrainingWhateverItsEntrySays)
 {
     HostTable table;
     table.listed(hostWith(memberOf(1, MemberState::Open)), start);
@@ -236,18 +237,18 @@
     EXPECT_TRUE(table.saidDraining("a"));
     EXPECT_FALSE(table.saidDraining("a")) << "it was known";
     EXPECT_TRUE(table.find("a")->draining);
-    EXPECT_GT(table.version(), before) << "what is made of the table is made anew";
+    EXPECT_GT(table.version(), before) << "views of the table are rebuilt";
     before = table.version();
     EXPECT_FALSE(table.listed(hostWith(memberOf(1, MemberState::Open)), start + Milliseconds(1200)));
     EXPECT_TRUE(table.find("a")->draining);
     EXPECT_EQ(table.version(), before);
     table.unlisted("a");
     table.listed(hostWith(memberOf(2, MemberState::Open)), start + Milliseconds(3000));
-    EXPECT_TRUE(table.find("a")->draining) << "the same life";
+    EXPECT_TRUE(table.find("a")->draining) << "the same process";
     Host next = hostWith(memberOf(3, MemberState::Open));
     next.id = lifeId("a", 1000);
     table.listed(next, start + Milliseconds(9000));
-    EXPECT_FALSE(table.findByName("a")->draining) << "another life has not said so";
+    EXPECT_FALSE(table.findByName("a")->draining) << "a restarted process has not said so";
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/loadboard_test.cpp
+++ b/tests/fleet/loadboard_test.cpp
@@ -10,7 +10,7 @@
 
 }
 
-TEST(LoadBoard, AddsUpTheOthersAlone)
+TEST(LoadBoard, TotalExcludesTheNodeItself)
 {
     LoadBoard board;
     board.nodeTold("a", { { "head-1", 3 } }, start);
@@ -21,17 +21,17 @@
     EXPECT_EQ(board.othersOf("stranger", start), (LoadsByHost { { "head-1", 5 }, { "head-2", 12 } }));
 }
 
-TEST(LoadBoard, TakesTheLatestWordOfANode)
+TEST(LoadBoard, UsesTheLatestReportOfANode)
 {
     LoadBoard board;
     board.nodeTold("a", { { "head-1", 3 } }, start);
     board.nodeTold("a", {}, start + Milliseconds(200));
     EXPECT_TRUE(board.zoneTotal(start + Milliseconds(200)).empty());
-    EXPECT_TRUE(board.isUsed(start + Milliseconds(200))) << "a node without calls is heard all the same";
+    EXPECT_TRUE(board.isUsed(start + Milliseconds(200))) << "a node without calls reports all the same";
 }
 
-// A node that ended, or a zone that is cut off, holds no places for ever.
-TEST(LoadBoard, ForgetsWhoFellSilent)
+// The requests of a node that stopped, or of a zone that is partitioned, must not count forever.
+TEST(LoadBoard, DropsSilentSenders)
 {
     LoadBoard board;
     board.nodeTold("a", { { "head-1", 3 } }, start);
--- a/tests/fleet/looppauses_test.cpp
+++ b/tests/fleet/looppauses_test.cpp
@@ -13,7 +13,7 @@
 
 }
 
-TEST(LoopPauses, CountsNothingWhileTheTimerIsInTime)
+TEST(LoopPauses, ReportsNoPauseWhileTheTimerIsOnTime)
 {
     LoopPauses pauses;
     for (int i = 0; i < 100; ++i)
@@ -21,8 +21,8 @@
     EXPECT_EQ(pauses.since(start, at(5500)), MonotonicTime::duration(0));
 }
 
-// A call asked at 100 whose time-out at 200 was only looked at after a pause from 150 to 900.
-TEST(LoopPauses, TellsHowMuchOfACallTheLoopStood)
+// A call starts at 100, and its time-out at 200 is evaluated only after a pause from 150 to 900.
+TEST(LoopPauses, MeasuresThePauseWithinACall)
 {
     LoopPauses pauses;
     pauses.fired(at(100), at(150));
@@ -30,11 +30,11 @@
     pauses.fired(at(900), at(950));
     EXPECT_EQ(pauses.latest(), Milliseconds(750));
     EXPECT_EQ(pauses.since(at(100), at(910)), Milliseconds(750));
-    EXPECT_EQ(pauses.since(at(800), at(910)), Milliseconds(100)) << "only what falls into the call";
+    EXPECT_EQ(pauses.since(at(800), at(910)), Milliseconds(100)) << "only the overlap with the call";
     EXPECT_EQ(pauses.since(at(905), at(910)), Milliseconds(0));
 }
 
-TEST(LoopPauses, ForgetsWhatIsLongOver)
+TEST(LoopPauses, DropsOldPauses)
 {
     LoopPauses pauses;
     pauses.fired(at(0), at(50));
--- a/tests/fleet/ratelimits_test.cpp
+++ b/tests/fleet/ratelimits_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/limitedworld.h"
+#include "fleet/ratelimitsimulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -12,36 +12,38 @@
     constexpr MonotonicTime start { std::chrono::hours(1) };
     const std::vector<DutyNode> alone { { "node-1", 1 } };
 
-    // Of all nodes, for a server that is one of many.
+    // Calls per second of all nodes for one server among many.
     double callsFor(double limit) { return 5 * limit + 5; }
-    // Where others are full, each node would send the server what calls it has.
+    // While the other servers are full, every node would send all its calls to this server.
     double callsWhereOthersAreFull(size_t nodes) { return 4.0 * static_cast<double>(nodes); }
 
 }
 
-// A server in need got from the whole fleet what it took before: nobody kept the limit that it named.
+// Guards against a fault in which no node kept an announced limit: an overloaded server received as much from the whole
+// fleet as before.
 TEST(RateLimits, AreKeptByAllNodesTogether)
 {
     for (size_t nodes : { 1U, 6U, 95U, 300U }) {
         for (double limit : { 0.4, 1.8, 12.0 }) {
             for (double calls : { callsFor(limit), callsWhereOthersAreFull(nodes) }) {
-                LimitedWorld world(nodes, calls, nodes);
+                RateLimitSimulation world(nodes, calls, nodes);
                 world.run(5s);
-                world.name(limit);
+                world.setLimit(limit);
                 world.run(20s);
-                EXPECT_LE(world.mostInSpan(), LimitedWorld::allowed(limit)) << nodes << " nodes, limit " << limit;
+                EXPECT_LE(world.maxInWindow(), RateLimitSimulation::allowed(limit))
+                    << nodes << " nodes, limit " << limit;
             }
         }
     }
 }
 
-// Where the other servers are full, what a server in need still takes is not left to lie.
-TEST(RateLimits, AreUsedWhereOthersAreFull)
+// While the other servers are full, the capacity that a limited server still has is used.
+TEST(RateLimits, AreUsedWhileOtherServersAreFull)
 {
     for (size_t nodes : { 6U, 95U, 300U }) {
         for (double limit : { 0.4, 1.8, 12.0 }) {
-            LimitedWorld world(nodes, callsWhereOthersAreFull(nodes), nodes);
-            world.name(limit);
+            RateLimitSimulation world(nodes, callsWhereOthersAreFull(nodes), nodes);
+            world.setLimit(limit);
             world.run(40s);
             EXPECT_GE(static_cast<double>(world.arrivedSince(world.now - 20s)), 0.6 * limit * 20)
                 << nodes << " nodes, limit " << limit;
@@ -49,24 +51,24 @@
     }
 }
 
-// What a node sent before it heard of the limit counts at the server too.
-TEST(RateLimits, OweWhatWasSentJustBefore)
+// Requests that a node sent before it learned of the limit count as well.
+TEST(RateLimits, CountRequestsSentJustBefore)
 {
     for (size_t nodes : { 6U, 95U }) {
-        LimitedWorld world(nodes, 10, 1);
+        RateLimitSimulation world(nodes, 10, 1);
         world.run(5s);
-        world.name(1.5);
+        world.setLimit(1.5);
         world.run(3s);
-        EXPECT_LE(world.arrivedSince(world.firstNamedAt + 1s), 4U);
+        EXPECT_LE(world.arrivedSince(world.limitedSince + 1s), 4U);
     }
 }
 
-TEST(RateLimits, AreKeptWhileTheNodesThatShareThemEnd)
+TEST(RateLimits, AreKeptWhileSharingNodesStop)
 {
     for (size_t nodes : { 6U, 95U }) {
-        LimitedWorld world(nodes, callsWhereOthersAreFull(nodes), nodes);
+        RateLimitSimulation world(nodes, callsWhereOthersAreFull(nodes), nodes);
         world.run(5s);
-        world.name(1.8);
+        world.setLimit(1.8);
         world.run(4s);
         std::set<size_t> ended;
         for (int i = 0; i < 4; ++i) {
@@ -74,58 +76,59 @@
             auto busiest = world.busiestSince(world.now - 3s);
             if (!busiest)
                 continue;
-            world.kill(*busiest);
+            world.stop(*busiest);
             ended.insert(*busiest);
         }
         EXPECT_FALSE(ended.empty());
         world.run(6s);
-        EXPECT_LE(world.mostInSpan(), LimitedWorld::allowed(1.8));
+        EXPECT_LE(world.maxInWindow(), RateLimitSimulation::allowed(1.8));
         EXPECT_GE(world.arrivedSince(world.now - 4s), 3U) << "others take over";
     }
 }
 
-TEST(RateLimits, AreKeptWhereNodesSeeDifferentNodes)
+TEST(RateLimits, AreKeptWhileMembershipViewsDiffer)
 {
     for (uint64_t seed = 1; seed <= 10; ++seed) {
-        LimitedWorld world(95, callsWhereOthersAreFull(95), seed);
-        world.sees = [seed](size_t node, size_t other) { return (node * 131 + other * 31 + seed * 17) % 20 != 0; };
+        RateLimitSimulation world(95, callsWhereOthersAreFull(95), seed);
+        world.considersAlive
+            = [seed](size_t node, size_t other) { return (node * 131 + other * 31 + seed * 17) % 20 != 0; };
         world.run(5s);
-        world.name(1.8);
+        world.setLimit(1.8);
         world.run(15s);
-        EXPECT_LE(world.mostInSpan(), LimitedWorld::allowed(1.8)) << "seed " << seed;
+        EXPECT_LE(world.maxInWindow(), RateLimitSimulation::allowed(1.8)) << "seed " << seed;
     }
 }
 
-// One that starts again knows nothing, and hears of the limit by its first request at the latest.
-TEST(RateLimits, AreKeptWhileNodesStartAgain)
+// A restarted node has no state and learns of the limit from the answer to its first request at the latest.
+TEST(RateLimits, AreKeptWhileNodesRestart)
 {
-    LimitedWorld world(6, callsFor(1.8), 7);
+    RateLimitSimulation world(6, callsFor(1.8), 7);
     world.run(5s);
-    world.name(1.8);
+    world.setLimit(1.8);
     world.run(4s);
     std::set<size_t> excused;
     for (size_t node = 0; node < 3; ++node) {
-        world.startAgain(node);
+        world.restart(node);
         excused.insert(node);
         world.run(4s);
     }
-    EXPECT_LE(world.mostInSpan(excused), LimitedWorld::allowed(1.8));
+    EXPECT_LE(world.maxInWindow(excused), RateLimitSimulation::allowed(1.8));
 }
 
-TEST(RateLimits, AreLiftedForAllNodesOnceAnAnswerNamesNone)
+TEST(RateLimits, AreLiftedForAllNodesByAnAnswerWithoutLimit)
 {
-    LimitedWorld world(6, 30, 3);
+    RateLimitSimulation world(6, 30, 3);
     world.run(5s);
-    world.name(1.5);
+    world.setLimit(1.5);
     world.run(10s);
-    EXPECT_LE(world.nodesThatSentSince(world.now - 5s), 4U);
-    world.name(std::nullopt);
+    EXPECT_LE(world.sendersSince(world.now - 5s), 4U);
+    world.setLimit(std::nullopt);
     world.run(5s);
-    EXPECT_EQ(world.nodesThatSentSince(world.now - 2s), 6U);
+    EXPECT_EQ(world.sendersSince(world.now - 2s), 6U);
     EXPECT_GE(world.arrivedSince(world.now - 2s), 40U);
 }
 
-// Answers overtake each other: one to an earlier request says nothing of what was named since.
+// Answers may arrive out of order: one to an earlier request does not lift a limit that was announced later.
 TEST(RateLimits, AreNotLiftedByAnAnswerToAnEarlierRequest)
 {
     RateLimits limits;
@@ -137,7 +140,7 @@
     EXPECT_TRUE(limits.admits("a", start + 500ms));
 }
 
-TEST(RateLimits, OfOneLifeSayNothingOfAnother)
+TEST(RateLimits, OfOneIncarnationDoNotApplyToAnother)
 {
     RateLimits limits;
     limits.answered("host@1", 0.0, start, start);
@@ -145,7 +148,7 @@
     EXPECT_TRUE(limits.admits("host@2", start));
 }
 
-TEST(RateLimits, TakeTheNewerWordOfOtherNodes)
+TEST(RateLimits, TakeTheNewerReportOfOtherNodes)
 {
     RateLimits limits;
     limits.answered("a", 2.0, start, start + 1s);
@@ -157,8 +160,8 @@
     EXPECT_FALSE(limits.told({ "b", std::nullopt, 0ms }, start + 2s));
 }
 
-// A server that took nothing, and was not asked since, is tried again.
-TEST(RateLimits, AreForgottenWhenNobodyHearsThemAgain)
+// A server with a limit of 0 that received no requests since is tried again.
+TEST(RateLimits, ExpireWhenNotAnnouncedAgain)
 {
     RateLimits limits;
     limits.answered("a", 0.0, start, start);
@@ -168,7 +171,7 @@
     EXPECT_TRUE(limits.admits("a", start + 31s));
 }
 
-RC_GTEST_PROP(RateLimits, NeverAdmitMoreThanTheirRateAndWhatMayBeSavedUp, ())
+RC_GTEST_PROP(RateLimits, NeverAdmitMoreThanTheirRateAndBurst, ())
 {
     auto limit = static_cast<double>(*rc::gen::inRange(1, 400)) / 10;
     RateLimits limits;
