--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -15,23 +15,23 @@
 namespace {
 
     constexpr uint32_t defaultQueueLimit = 256;
-    // A stopping node tells its callers to come back soon: other nodes take them at once.
+    // Short, because other nodes can take the callers of a stopping node at once.
     constexpr Milliseconds comeBackElsewhere { 200 };
 
-    // Each waiting thread has a condition of its own, so that a free stream wakes just the one that gets it.
+    // Each waiting thread has its own condition variable, so that a free stream wakes only the thread that gets it.
     struct Waiter {
         std::condition_variable decided;
         std::optional<AdmissionOutcome> outcome;
     };
 
-    // One service; each is a shard under its own lock.
+    // The queue of one service, under its own lock.
     struct ServiceGate {
         explicit ServiceGate(Random::result_type seed)
             : random(seed)
         {
         }
 
-        // Hands what the queue decided to the threads that wait for it.
+        // Passes the queue's decisions to the waiting threads.
         void deliver()
         {
             for (const QueueDecision& decision : queue.takeDecisions()) {
@@ -62,7 +62,7 @@
         return found == gates.end() ? nullptr : found->second.get();
     }
 
-    // Gates are never taken out again, so that one may be used without the lock of the map.
+    // Gates are never removed, so they may be used without holding the lock of the map.
     ServiceGate& findOrAdd(std::string_view service)
     {
         if (ServiceGate* found = find(service))
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -11,7 +11,7 @@
 
 namespace Kumquatpick {
 
-// Higher goes first among a team's own requests.
+// Orders the waiting requests of one team: higher priorities start first.
 enum class Priority : uint8_t {
     Low,
     Normal,
@@ -28,17 +28,17 @@
 enum class AdmissionVerdict : uint8_t {
     Admitted,
     QueueFull,
-    TeamLimit, // The team has its limit of streams over all entry nodes.
-    WouldMissDeadline, // Told at once, not when the deadline has passed.
+    TeamLimit, // The team runs as many streams over all entry nodes as its limit allows.
+    WouldMissDeadline, // Refused on arrival if possible, not when the deadline has passed.
     ShuttingDown,
 };
 
 struct AdmissionOutcome {
     AdmissionVerdict verdict = AdmissionVerdict::Admitted;
-    Milliseconds retryAfter {}; // When it is worth coming back, for anything but Admitted.
+    Milliseconds retryAfter {}; // Time after which a retry is worthwhile; unused for Admitted.
 };
 
-// What one team uses of one service at one node, as gossip carries it.
+// A team's running and waiting requests for one service on one node, as sent by gossip.
 struct TeamUsage {
     std::string service;
     std::string team;
@@ -46,24 +46,24 @@
     uint32_t waiting = 0;
 };
 
-// Bounded queues by priority and deadline, weighted fair between teams, shared knowledge of other nodes' usage.
-// Thread-safe.
+// Admission control for all services of a node: bounded queues ordered by priority and deadline, weighted fair
+// queueing between teams, and team limits that include the usage on other nodes. Thread-safe.
 class Admission {
 public:
     Admission();
     ~Admission();
 
     void configure(const OperatorsText&);
-    // Streams that this node may have running on a service now (its share of what the replicas can take).
+    // The streams that this node may run on a service at once: its share of the replicas' capacity.
     void setCapacity(std::string_view service, uint32_t streams, MonotonicTime now);
     void setOthersUsage(std::span<const TeamUsage> summedOverOtherNodes);
 
-    // Blocks in the queue until admitted or refused. Each Admitted is paired with one release().
+    // Blocks until the request is admitted or refused. Each admitted request needs exactly one release().
     AdmissionOutcome admit(const AdmissionRequest&);
     void release(std::string_view service, std::string_view team, std::chrono::nanoseconds ran);
 
     std::vector<TeamUsage> ownUsage() const;
-    // Refuses everything that waits and comes from now on.
+    // Refuses all waiting requests and all that arrive later.
     void shutDown();
 
 private:
--- a/src/policy/bench_limits.cpp
+++ b/src/policy/bench_limits.cpp
@@ -17,13 +17,13 @@
     constexpr uint32_t entryNodes = 7;
     constexpr uint32_t streamsPerNode = 16;
     constexpr uint32_t allStreams = entryNodes * streamsPerNode;
-    constexpr double meanRunSeconds = 4; // Before the longest are cut.
+    constexpr double meanRunSeconds = 4; // Before runs are truncated to the longest.
     constexpr double longestRunSeconds = 12;
     constexpr double cutMeanRunSeconds = 3.8009; // 4 * (1 - exp(-12 / 4))
-    constexpr double patienceSeconds = 20; // Of a caller, for the whole answer.
-    constexpr uint32_t mostAttempts = 4; // Of one request within that time.
-    constexpr uint32_t mostRequests = 2; // That one caller makes of the same wish.
-    constexpr double asksAnewShare = 0.3; // Of the callers that got no answer.
+    constexpr double patienceSeconds = 20; // Time that a caller waits for the whole answer.
+    constexpr uint32_t mostAttempts = 4; // Per request, within the caller's waiting time.
+    constexpr uint32_t mostRequests = 2; // Per caller, for the same work.
+    constexpr double asksAnewShare = 0.3; // Share of the callers without an answer that send a new request.
     constexpr double gossipPeriod = 1;
     constexpr double calmLoad = 0.5;
     constexpr double overloadFrom = 40;
@@ -31,10 +31,10 @@
     constexpr double overloadUntil = 90;
     constexpr double endsAt = 230;
     constexpr double bucketSeconds = 5;
-    constexpr double wellShare = 0.9; // Answered in time, for a bucket to count as recovered.
+    constexpr double wellShare = 0.9; // Share answered in time from which a bucket counts as recovered.
     constexpr double lateRefusalSeconds = 1;
     constexpr uint32_t seeds = 4;
-    constexpr size_t firstSmall = 3; // Teams before are the flooding one and two large ones.
+    constexpr size_t firstSmall = 3; // Index; the teams before are the flooding one and two large ones.
     constexpr uint32_t floodLimit = allStreams / 2;
 
     struct TeamModel {
@@ -53,10 +53,10 @@
     struct LimitsWay {
         std::string name;
         FairQueueSettings settings;
-        bool oneQueue = false; // All nodes together, without a bound.
+        bool oneQueue = false; // One unbounded queue shared by all nodes.
         bool teamLimits = false;
-        bool sharesUnused = true; // Off: each node keeps to its even part.
-        uint32_t queueLimit = 64; // Of each node.
+        bool sharesUnused = true; // If false, each node is limited to an even share.
+        uint32_t queueLimit = 64; // Per node.
     };
 
     struct Wish {
@@ -65,22 +65,22 @@
         uint32_t attempt = 1;
         uint32_t request = 1;
         double arrivedAt = 0;
-        double askedAt = 0; // This attempt.
+        double askedAt = 0; // Start of this attempt.
         double deadline = 0;
         double run = 0;
-        double startedAt = 0; // Admitted.
+        double startedAt = 0; // Time of admission.
         double ranAt = 0;
     };
 
-    // Counts over all seeds; waits in seconds.
+    // Totals over all seeds; times in seconds.
     struct LimitsOutcome {
-        std::array<double, 10> asked {}; // By team, in the measured part of the overload.
+        std::array<double, 10> asked {}; // Per team, in the measured part of the overload.
         std::array<double, 10> answered {};
         double refused = 0;
         double refusedLate = 0;
         std::vector<double> smallWaits;
         uint32_t mostFlood = 0;
-        double recovery = 0; // Summed.
+        double recovery = 0; // Summed over all seeds.
         double othersRecovery = 0;
 
         double share(size_t from, size_t to) const
@@ -93,7 +93,7 @@
         double allAnswered() const { return std::accumulate(answered.begin(), answered.end(), 0.0); }
     };
 
-    // Arrivals and how many of them were answered in time, by time of arrival.
+    // Counts arrivals, and those answered in time, by time of arrival.
     class Buckets {
     public:
         void add(double arrivedAt, bool answered)
@@ -103,8 +103,8 @@
             (answered ? m_buckets[index].answered : m_buckets[index].asked) += 1;
         }
 
-        // Seconds from the end of the overload to that of the last bucket of which too few were answered in time.
-        // Those at the very end are still waiting and do not count.
+        // Seconds from the end of the overload to the end of the last bucket with too few answers in time. The last
+        // buckets of the run are left out, as their requests may still be waiting.
         double recovery() const
         {
             double recovered = 0;
@@ -180,7 +180,7 @@
             });
         }
 
-        // A new request: the caller waits for it from now.
+        // Starts a new request with a new deadline.
         void ask(Wish wish)
         {
             wish.attempt = 1;
@@ -228,7 +228,7 @@
                 refused(ticket, toSeconds(outcome.retryAfter));
         }
 
-        // The answer is broken off at the deadline, as its caller is gone.
+        // The answer is cut off at the deadline, because the caller has left by then.
         void start(Ticket ticket, Wish& wish)
         {
             wish.startedAt = m_events.now();
@@ -242,7 +242,7 @@
                 m_engineQueue.push_back(ticket);
         }
 
-        // What nodes admit beyond the streams there are waits at the engines, in order of arrival.
+        // Requests admitted beyond the available streams wait at the engines in order of arrival.
         void runAtEngine(Ticket ticket)
         {
             ++m_engineRunning;
@@ -345,10 +345,10 @@
         double m_overload;
         bool m_sharesUnused;
         EventQueue m_events;
-        Random m_load; // Apart, so that every way meets the same arrivals.
+        Random m_load; // A separate generator, so that all variants get the same arrivals.
         Random m_random;
         std::vector<FairQueue> m_nodes;
-        std::vector<std::vector<TeamUsage>> m_usage; // Of each node, as the others have heard it.
+        std::vector<std::vector<TeamUsage>> m_usage; // Usage of each node as last received by the other nodes.
         std::unordered_map<Ticket, Wish> m_wishes;
         Buckets m_all;
         Buckets m_others; // Without the flooding team.
--- a/src/policy/bench_limits.h
+++ b/src/policy/bench_limits.h
@@ -4,8 +4,8 @@
 
 namespace Kumquatpick {
 
-// Ten teams, one of them flooding, over several entry nodes with late gossip, at half to four times the capacity:
-// what is answered in time, who gets it, and how long the recovery takes.
+// Simulates ten teams, one of which floods the service, over several entry nodes with delayed gossip, at 0.5 to 4
+// times the capacity. Measures the answers in time, their distribution over the teams, and the recovery time.
 BenchTable benchLimits(uint64_t seed);
 
 } // namespace Kumquatpick
--- a/src/policy/bench_model.cpp
+++ b/src/policy/bench_model.cpp
@@ -31,7 +31,7 @@
 
 double uniform(Random& random, double low, double high)
 {
-    // Not the library's distributions, whose figures differ between implementations.
+    // Does not use the standard library's distributions: their results differ between implementations.
     return low + (high - low) * (static_cast<double>(random() >> 11) * 0x1p-53);
 }
 
@@ -70,7 +70,7 @@
     m_advancedAt = m_events.now();
 }
 
-// Only the latest schedule counts; earlier ones find the generation changed.
+// Only the latest scheduled event takes effect; earlier ones find that the generation has changed.
 void ModelReplica::schedule()
 {
     uint64_t generation = ++m_generation;
@@ -136,7 +136,7 @@
     schedule();
 }
 
-// Says how much of the prompt was cached, and caches all of it, evicting what was longest unused.
+// Returns the cached share of the prompt, then caches the whole prompt and evicts the least recently used prefixes.
 double ModelReplica::touchCache(const std::vector<uint64_t>& prefixes)
 {
     double hit = 0;
--- a/src/policy/bench_model.h
+++ b/src/policy/bench_model.h
@@ -14,7 +14,7 @@
 
 namespace Kumquatpick {
 
-// Runs actions in the order of their times; those of the same time in the order they were added.
+// Runs actions in order of time, and actions with the same time in the order in which they were added.
 class EventQueue {
 public:
     using Action = std::function<void()>;
@@ -24,7 +24,7 @@
     void runUntil(double seconds);
 
     double now() const { return m_now; }
-    // Decisions are handed time points; the bench counts seconds from an hour after the clock's start.
+    // The current time as the policies take it. Second 0 of the simulation is one hour after the clock's epoch.
     MonotonicTime time() const { return timeAt(m_now); }
     static MonotonicTime timeAt(double seconds);
 
@@ -48,27 +48,27 @@
 double uniform(Random&, double low, double high);
 std::chrono::nanoseconds nanoseconds(double seconds);
 
-// The value below which the share lies; sorts the values.
+// Returns the given quantile (0..1) and sorts the values.
 double quantile(std::vector<double>&, double share);
 
-// What a bench request asks of a replica; seconds are those of an idle replica of normal speed.
+// The work of one simulated request, in seconds on an idle replica of normal speed.
 struct ModelRequest {
     uint64_t id = 0;
     std::vector<uint64_t> prefixes; // Shortest first, each twice the length of the one before.
     double promptSeconds = 0; // Without any cached prefix.
-    double fixedSeconds = 0; // What a cached prompt costs too.
+    double fixedSeconds = 0; // Spent even if the whole prompt is cached.
     double answerSeconds = 0;
 };
 
-// A batching engine: the running streams share its speed, those beyond the limit wait in order of arrival, and a
-// prompt prefix still in the limited cache saves its share of the prompt's work.
+// Models a batching engine: running streams share its speed, requests beyond the stream limit wait in order of
+// arrival, and a cached prompt prefix saves its share of the prompt's work. The cache is limited.
 class ModelReplica {
 public:
     struct Settings {
         uint32_t streamLimit = 16;
         double speed = 1;
-        double sharing = 0.08; // How much each further stream slows the others.
-        size_t cacheUnits = 4096; // Of the shortest prefix's length.
+        double sharing = 0.08; // Slowdown of the others by each additional stream.
+        size_t cacheUnits = 4096; // One unit is the length of the shortest prefix.
     };
 
     struct Callbacks {
@@ -80,7 +80,7 @@
     ModelReplica(EventQueue&, Settings, Callbacks);
 
     void start(ModelRequest);
-    // Drops a request that waits or runs.
+    // Removes a waiting or running request.
     void cancel(uint64_t id);
     void setSpeed(double speed);
 
@@ -106,12 +106,12 @@
     Settings m_settings;
     Callbacks m_callbacks;
     std::list<ModelRequest> m_queue;
-    // By the work that each stream will have got when its phase ends.
+    // Keyed by the value of m_work at which the stream's phase ends.
     std::multimap<double, Run> m_running;
     double m_work = 0;
     double m_advancedAt = 0;
     uint64_t m_generation = 0;
-    std::list<uint64_t> m_cacheByUse; // Longest unused first.
+    std::list<uint64_t> m_cacheByUse; // Least recently used first.
     struct Cached {
         std::list<uint64_t>::iterator place;
         size_t units = 0;
--- a/src/policy/bench_placement.cpp
+++ b/src/policy/bench_placement.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-    // A fleet with one host in twenty-four to spare.
+    // The wanted replicas need 276 of the 288 hosts, so one host in 24 is spare.
     constexpr uint32_t zoneCount = 3;
     constexpr uint32_t domainCount = 24;
     constexpr uint32_t hostsPerDomain = 12;
@@ -24,10 +24,10 @@
         uint32_t wanted;
     };
 
-    // In the order in which they depend on each other: earlier ones are built first.
+    // In dependency order: replicas of earlier services are built first.
     constexpr ServiceSize serviceSizes[] = { { 4, 36 }, { 3, 24 }, { 2, 30 } };
 
-    // Hours.
+    // All times are in hours.
     constexpr double meanTimeToFailure = 240;
     constexpr double meanTimeToRepair = 4;
     constexpr double meanTimeToFlap = 600;
@@ -35,7 +35,7 @@
     constexpr double meanTimeToDark = 24 * 45;
     constexpr double darkLength = 1;
     constexpr double never = 1e9;
-    constexpr double warmLoad = 0.002; // Weights that are still in the host's memory.
+    constexpr double warmLoad = 0.002; // Time to load weights that are still in the hosts' memory.
 
     struct Fault {
         double at = 0;
@@ -83,7 +83,7 @@
         std::vector<uint32_t> hosts;
         uint32_t coldHosts = 0;
         double servesAt = 0;
-        uint64_t replaces = 0; // The replica that ends when this one serves; 0 if none.
+        uint64_t replaces = 0; // The replica that is removed once this one serves; 0 if none.
         bool replaced = false;
     };
 
@@ -113,7 +113,7 @@
         }
 
     private:
-        // Loads finish on the way; each may end a replica that was moved.
+        // Completes the loads that end before then; each may end the replica that it replaces.
         void advanceTo(double at)
         {
             while (auto next = nextServing(at)) {
@@ -186,7 +186,7 @@
             return static_cast<uint32_t>(std::count(first, first + hostsPerDomain, 0));
         }
 
-        // Hosts that the wanted replicas need beyond what any packing of the domains can use.
+        // Hosts that the wanted replicas need in excess of those that the best packing of the domains can use.
         double hostsShort() const
         {
             double needed = 0;
@@ -217,7 +217,7 @@
 
         bool isFree(uint32_t host) const { return m_downs[host] == 0 && m_usedBy[host] == 0; }
 
-        // Overlapping faults of one host (its own and its domain's) end when the last one does.
+        // A host with overlapping faults (its own and its domain's) is up again when the last one ends.
         void apply(const Fault& fault)
         {
             if (fault.up) {
@@ -241,7 +241,7 @@
             for (uint32_t host : replica.hosts) {
                 m_usedBy[host] = 0;
                 if (replica.servesAt > m_now)
-                    m_warmFor[host] = noService; // Half loaded is not loaded.
+                    m_warmFor[host] = noService; // Incomplete weights cannot be reused.
             }
             if (replica.replaces != 0 && m_replicas.contains(replica.replaces))
                 m_replicas.at(replica.replaces).replaced = false;
@@ -340,7 +340,7 @@
             startNextLoad();
         }
 
-        // The store serves one replica after another, which gets the first ones up soonest.
+        // The store serves one replica at a time, so that the first ones serve as early as possible.
         void startNextLoad()
         {
             if (m_loading != 0)
@@ -371,13 +371,13 @@
 
         PlacementRun m_run;
         std::vector<PlacementService> m_services = services();
-        std::vector<uint32_t> m_downs; // Faults that hold a host down now.
+        std::vector<uint32_t> m_downs; // Number of current faults of each host.
         std::vector<uint32_t> m_warmFor;
         std::vector<uint64_t> m_usedBy; // Replica id; 0 if free.
         std::map<uint64_t, Replica> m_replicas;
         uint64_t m_lastId = 0;
         double m_now = 0;
-        uint64_t m_loading = 0; // The replica that the store serves now; 0 if none.
+        uint64_t m_loading = 0; // The replica that is loading from the store; 0 if none.
         bool m_unplaced = false;
         PlacementFigures m_figures;
     };
--- a/src/policy/bench_placement.h
+++ b/src/policy/bench_placement.h
@@ -7,18 +7,18 @@
 namespace Kumquatpick {
 
 enum class PlacementPolicy : uint8_t {
-    FirstFit, // Baseline: first domain that fits, no moves.
-    Weighed, // choosePlacement and chooseMove.
+    FirstFit, // Baseline: the first domain that fits, without moves.
+    Weighed, // Uses choosePlacement() and chooseMove().
 };
 
-// What a run of placement over a fault sequence is measured by.
+// The results of one placement run over a fault sequence.
 struct PlacementFigures {
-    double downReplicaHours = 0; // Wanted replicas that did not serve, summed over time.
-    double strandedHostHours = 0; // Healthy hosts idle while a wanted replica fits on none of them.
-    double loadedHosts = 0; // Loads taken from the weight store.
-    double loadingHours = 0; // The part of downReplicaHours spent loading.
+    double downReplicaHours = 0; // Wanted replicas that were not serving, integrated over time.
+    double strandedHostHours = 0; // Healthy idle hosts while some wanted replica fits in no domain.
+    double loadedHosts = 0; // Hosts whose weights were loaded from the weight store.
+    double loadingHours = 0; // The part of downReplicaHours that was spent loading weights.
     uint64_t moves = 0;
-    // What no placement could avoid, given which hosts were up: the time to load not counted.
+    // Lower bounds for any placement, given the hosts that were up. Loading time is not counted.
     double downBound = 0;
     double strandedBound = 0;
 };
@@ -29,11 +29,11 @@
     double strandedWeight = 0.5;
     uint64_t seed = 1;
     double days = 30;
-    double hoursPerLoad = 0.03; // One host's weights at the weight store's full rate.
+    double hoursPerLoad = 0.03; // Time to load one host's weights at the weight store's full rate.
 };
 
-// Event time over a seeded sequence of host failures, flapping hosts and dark domains, with loads from one
-// rate-limited weight store. The same seed gives the same faults to every policy.
+// Simulates placement over a seeded sequence of host failures, short host outages and domain outages, with weights
+// loaded from one rate-limited weight store. The same seed gives the same faults for every policy.
 PlacementFigures runPlacement(const PlacementRun&);
 
 } // namespace Kumquatpick
--- a/src/policy/bench_placement_table.cpp
+++ b/src/policy/bench_placement_table.cpp
@@ -27,7 +27,7 @@
 
     constexpr double hoursPerLoad[] = { 0.03, 0.08 };
 
-    // Runs are independent; a few at a time leave the machine to others.
+    // Runs are independent; the limit leaves processors to other work on the machine.
     constexpr int runsAtOnce = 4;
 
     std::vector<PlacementRun> plannedRuns(uint64_t firstSeed, uint32_t seeds)
--- a/src/policy/bench_placement_table.h
+++ b/src/policy/bench_placement_table.h
@@ -6,8 +6,8 @@
 
 namespace Kumquatpick {
 
-// First fit against the weighed policy in both weightings, with a fast and a slow weight store: means over as many
-// seeds, from `firstSeed` on, of thirty days each.
+// Compares first fit with the weighed policy under two weightings, each with a fast and a slow weight store. The
+// results are means over consecutive seeds from `firstSeed` on, with 30 simulated days per seed.
 BenchTable benchPlacement(uint64_t firstSeed, uint32_t seeds);
 
 } // namespace Kumquatpick
--- a/src/policy/bench_poison.cpp
+++ b/src/policy/bench_poison.cpp
@@ -17,11 +17,11 @@
     constexpr uint32_t nodeCount = 7;
     constexpr double perSecond = 120;
     constexpr double meanRun = 4;
-    constexpr double killsAfter = 1; // Seconds into its run.
+    constexpr double killsAfter = 1; // Seconds from the start of a poison request to the crash.
     constexpr double reloadSeconds = 60;
-    constexpr double asksAgainSeconds = 0.5; // The poisonous caller, after a failure.
+    constexpr double asksAgainSeconds = 0.5; // Delay before a poison request is sent again after a failure.
     constexpr std::array<double, 3> poisonsAt { 30, 60, 90 };
-    constexpr double darkAt = 150; // A whole domain, by no request's fault.
+    constexpr double darkAt = 150; // A whole domain fails, not caused by any request.
     constexpr uint32_t domainReplicas = 10;
     constexpr double endsAt = 300;
     constexpr uint64_t popularCount = 50;
@@ -37,18 +37,18 @@
         std::string name;
         bool guards = true;
         bool gossips = true;
-        bool keepsApart = true; // Suspects off each other's replicas.
+        bool keepsApart = true; // Suspected requests are not dispatched to the same replica.
         SuspicionSettings settings {};
     };
 
-    // Over all seeds.
+    // Totals over all seeds.
     struct PoisonOutcome {
         uint32_t serversLost = 0;
         uint32_t innocents = 0;
-        uint32_t unanswered = 0; // Innocents without an answer after one retry.
-        uint32_t stopped = 0; // Innocents refused as if they were poisonous.
-        uint32_t heldBack = 0; // Suspected innocents told to come back as one of their kind ran.
-        double longestStop = 0; // Seconds for which an innocent fingerprint was refused.
+        uint32_t unanswered = 0; // Harmless requests without an answer after one retry.
+        uint32_t stopped = 0; // Harmless requests refused as poison.
+        uint32_t heldBack = 0; // Suspected harmless requests delayed while one with the same fingerprint ran.
+        double longestStop = 0; // Longest time in seconds for which a harmless fingerprint was refused.
     };
 
     class PoisonRun {
@@ -131,7 +131,7 @@
             m_events.after(request.run, [this, id] { ended(id); });
         }
 
-        // Says whether it may run; if not, settles what becomes of it.
+        // Returns whether the request may run; otherwise schedules its retry or counts it as refused.
         bool allowed(const Request& request)
         {
             SuspicionState& node = m_nodes[request.node];
@@ -150,7 +150,7 @@
 
         void refusedForGood(const Request& request)
         {
-            // The poisonous caller keeps asking.
+            // The caller of a poison request keeps retrying.
             if (poisonous(request)) {
                 m_events.after(10 * asksAgainSeconds, [this, request] { ask(request); });
                 return;
@@ -218,7 +218,7 @@
             } else if (request.retried) {
                 gaveUp(request);
             } else {
-                // The node that saw it break off retries it itself.
+                // The entry node retries a broken-off request itself.
                 request.retried = true;
                 dispatch(request);
             }
--- a/src/policy/bench_poison.h
+++ b/src/policy/bench_poison.h
@@ -4,7 +4,8 @@
 
 namespace Kumquatpick {
 
-// Backend servers lost to requests that kill them, and innocents held back, with and without the guard.
+// Counts the backend servers lost to requests that crash them, and the harmless requests that are held back, with and
+// without poison request detection.
 BenchTable benchPoison(uint64_t seed);
 
 } // namespace Kumquatpick
--- a/src/policy/bench_retries.cpp
+++ b/src/policy/bench_retries.cpp
@@ -17,7 +17,7 @@
     constexpr uint32_t streamLimit = 8;
     constexpr uint32_t failingCount = 6;
     constexpr double sharing = 0.08;
-    constexpr double fullRate = streamLimit / (1 + sharing * (streamLimit - 1)); // Seconds of work a second.
+    constexpr double fullRate = streamLimit / (1 + sharing * (streamLimit - 1)); // Seconds of work done per second.
     constexpr double meanSeconds = 1.5;
     constexpr double longestSeconds = 4;
     constexpr double cutMeanSeconds = 1.3958; // 1.5 * (1 - exp(-4 / 1.5))
@@ -35,24 +35,24 @@
     constexpr uint32_t seeds = 4;
 
     enum class Outage : uint8_t {
-        Refusing, // A part of the replicas fails every request at once.
-        Hanging, // A part of the replicas never answers.
-        Overload, // All work, but more is asked than they can do.
+        Refusing, // Some replicas fail every request at once.
+        Hanging, // Some replicas never answer.
+        Overload, // All replicas work, but the load exceeds their capacity.
     };
 
     enum class RetryWay : uint8_t {
         Never,
-        Always, // As often as the limit on tries allows.
+        Always, // Up to the limit on retries.
         Budget,
     };
 
-    // Over all seeds.
+    // Totals over all seeds.
     struct RetryOutcome {
         double requests = 0;
         double dispatches = 0;
         double answered = 0;
         std::vector<double> answerSeconds;
-        double recovery = 0; // Summed.
+        double recovery = 0; // Summed over all seeds.
     };
 
     class RetryRun {
@@ -92,7 +92,7 @@
             double seconds = 0;
             double arrivedAt = 0;
             double triedAt = 0;
-            uint64_t firstId = 0; // Each try has an id of its own.
+            uint64_t firstId = 0; // Each attempt has its own id.
             std::vector<std::string> tried;
         };
 
--- a/src/policy/bench_retries.h
+++ b/src/policy/bench_retries.h
@@ -4,7 +4,8 @@
 
 namespace Kumquatpick {
 
-// Dispatches for each request and answers in time under partial outages and overload, with and without a budget.
+// Measures the dispatches per request and the answers in time under partial outages and overload, with and without a
+// retry budget.
 BenchTable benchRetries(uint64_t seed);
 
 } // namespace Kumquatpick
--- a/src/policy/bench_routing.cpp
+++ b/src/policy/bench_routing.cpp
@@ -21,21 +21,22 @@
     constexpr double measuredUntil = 180;
     constexpr double reportPeriod = 1;
     constexpr uint32_t conversations = 3000;
-    constexpr uint32_t templates = 40; // System prompts that conversations share.
+    constexpr uint32_t templates = 40; // System prompts shared by conversations.
     constexpr size_t templateDepth = 3;
     constexpr size_t promptDepth = 7;
     constexpr double promptSeconds = 0.6;
     constexpr double fixedSeconds = 0.06;
     constexpr double answerSeconds = 2.5;
-    // Streams share a replica's speed: at the limit it does limit / (1 + sharing * (limit - 1)) seconds a second.
+    // Streams share a replica's speed: at the limit it does limit / (1 + sharing * (limit - 1)) seconds of work per
+    // second.
     constexpr double fullRate = streamLimit / (1 + 0.08 * (streamLimit - 1));
 
     struct Scenario {
         std::string name;
-        double load = 0.7; // Of what all replicas do at full batch without any cache.
-        uint32_t slow = 0; // Replicas at a fifth of the speed.
-        uint32_t lying = 0; // Replicas that are at half speed and report that they are idle.
-        bool withParts = false; // Also measures our way with one part left out.
+        double load = 0.7; // Relative to the work of all replicas at the stream limit without any cache.
+        uint32_t slow = 0; // Replicas at a fifth of the normal speed.
+        uint32_t lying = 0; // Replicas at half speed that report no load.
+        bool withParts = false; // Also measures ServiceRouter with single features disabled.
     };
 
     struct RandomChoice { };
@@ -53,7 +54,7 @@
     uint32_t replicaIndex(std::string_view name) { return uint32_t(name[1] - '0') * 10 + uint32_t(name[2] - '0'); }
     std::string zoneName(uint32_t index) { return fmt::format("z{}", index % zoneCount); }
 
-    // How each way chooses; all keep to what a node can know.
+    // Chooses a replica with each algorithm, using only data that a node has.
     struct Choose {
         const RequestShape& shape;
         MonotonicTime now;
@@ -135,7 +136,7 @@
             m_samples[index] = { replicaName(index), zoneName(index), streamLimit, 0, 0, 0, EventQueue::timeAt(0) };
         }
 
-        // What a node reads is already old, and it reads only once in a while.
+        // Nodes receive reports periodically and with a delay.
         void report(uint32_t node, double delay)
         {
             m_events.after(delay, [this, node] {
@@ -180,7 +181,7 @@
             });
         }
 
-        // A few conversations are much busier than the rest; each starts with one of the shared templates.
+        // Some conversations send far more requests than others. Each starts with one of the shared templates.
         ModelRequest nextRequest()
         {
             auto conversation = uint32_t(conversations * std::pow(uniform(m_load, 0, 1), 2));
@@ -236,7 +237,7 @@
         EventQueue m_events;
         Random m_random;
         Random m_choices;
-        Random m_load; // Apart, so that every way meets the same requests.
+        Random m_load; // A separate generator, so that all algorithms get the same requests.
         std::vector<Chooser> m_nodes;
         std::vector<std::unique_ptr<ModelReplica>> m_replicas;
         std::vector<ReplicaSample> m_samples;
@@ -322,7 +323,8 @@
     constexpr uint32_t nodes = 320;
     constexpr uint32_t replicas = 12000;
     constexpr uint32_t watchers = 8;
-    constexpr uint32_t sampledNodes = 64; // One in five; each costs a pass over all pairs.
+    constexpr uint32_t sampledNodes
+        = 64; // One in five, because each needs a pass over all pairs of nodes and replicas.
     std::vector<std::string> nodeNames;
     for (uint32_t index = 0; index < nodes; ++index)
         nodeNames.push_back(fmt::format("node-{}-{}", seed, index));
--- a/src/policy/bench_routing.h
+++ b/src/policy/bench_routing.h
@@ -4,9 +4,10 @@
 
 namespace Kumquatpick {
 
-// Time to first token, throughput and cache hits of our routing and of random, round robin and least outstanding.
+// Compares time to first token, throughput and cache hits of ServiceRouter with random, round robin and least
+// outstanding routing.
 BenchTable benchRouting(uint64_t seed);
-// How evenly subsets spread the watching of replicas over nodes at target size.
+// Measures how evenly replicaSubset() spreads replicas over nodes at the target size.
 BenchTable benchSubset(uint64_t seed);
 
 } // namespace Kumquatpick
--- a/src/policy/capacityshare.h
+++ b/src/policy/capacityshare.h
@@ -4,9 +4,9 @@
 
 namespace Kumquatpick {
 
-// The streams that one of several nodes may run of those that a service's replicas have, for Admission's
-// setCapacity(): an even part at least; beyond it what it runs already and its part of what nobody uses. To take
-// all that is unused would let every node take it within one round of gossip.
+// Returns how many of a service's streams one node may run, for Admission::setCapacity(). A node gets at least an even
+// share; beyond it, it keeps the streams that it already runs and gets an even share of the unused ones. If each node
+// could take all unused streams, every node would take them within one round of gossip.
 uint32_t capacityShare(uint32_t streams, uint32_t othersRunning, uint32_t ownRunning, uint32_t nodes);
 
 } // namespace Kumquatpick
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -10,15 +10,16 @@
 namespace {
 
     constexpr double runGain = 0.05;
-    // Of the capacity left, below which all that wait are judged again; smaller swings come and go.
+    // If the capacity falls below this share of its last value, all waiting requests are checked again. Smaller changes
+    // are treated as temporary.
     constexpr double lossShare = 0.75;
     constexpr Milliseconds emptyPatience { 5000 };
     constexpr double startGain = 0.03;
-    constexpr double runAtStart = 1; // Seconds, until one has ended.
+    constexpr double runAtStart = 1; // Seconds, used until a run has ended.
     constexpr double shortestRetrySeconds = 0.2;
     constexpr double longestRetrySeconds = 30;
     constexpr double retryJitter = 0.25;
-    // The newest goes first once the oldest has used up this share of the time it had.
+    // Share of its time to the deadline that the oldest request may use before the newest goes first.
     constexpr double lateShare = 0.3;
 
     std::chrono::nanoseconds fromSeconds(double seconds)
@@ -38,8 +39,9 @@
 {
 }
 
-// Gossip is late by about two updates. What this node has started since, the others have probably started too, in
-// proportion: a team that begins a burst would else get the rest of its limit from every node at once.
+// Estimates the streams that other nodes have started since their usage was sent: gossip is late by about two
+// updates, and the other nodes are assumed to grow in proportion to this one. Without the estimate, a team that
+// begins a burst would get the rest of its limit from every node at once.
 double FairQueue::Team::othersGrowth() const
 {
     uint32_t then = std::min(runningAtUpdate, runningBefore);
@@ -48,8 +50,8 @@
     return double(running - then) * othersRunning / std::max(1U, then);
 }
 
-// Streams of the limit that others do not use; where both want more than there is, this node's part by demand, so
-// that a node which came first does not keep them all.
+// The part of the team's limit that other nodes do not use. If the demand of all nodes exceeds the limit, the part is
+// also limited in proportion to this node's demand, so that the first node to fill up does not keep all streams.
 uint32_t FairQueue::Team::allowance() const
 {
     if (!limit)
@@ -127,7 +129,7 @@
             return other.priority < waiting.priority;
         return m_settings.order == QueueOrder::Deadline && other.deadline > waiting.deadline;
     };
-    // A team that had nothing waiting starts from now, not from the past in which it asked for nothing.
+    // A team without waiting requests earns no credit for the time in which it was idle.
     if (team.waiting.empty()) {
         team.tag = std::max(team.tag, m_virtualTime);
         team.secondsPerStart = 1 / streamsPerSecond(team);
@@ -145,7 +147,7 @@
     noteEmpty(now);
     expire(now, random);
     auto own = insert(team, request, now);
-    // What can start at once is not measured against the runs of others: it may be a short one.
+    // A request that can start at once is admitted whatever the mean run: it may be a short one.
     startWaiting(now);
     if (auto outcome = takeDecision(request.ticket))
         return outcome;
@@ -167,7 +169,8 @@
     return outcome;
 }
 
-// The team with the longest queue for its weight loses its last, so that a flood crowds out only itself.
+// Refuses the last request of the team with the longest queue for its weight, so that a team that floods the service
+// displaces only its own requests.
 void FairQueue::makeRoom(MonotonicTime now, Random& random)
 {
     Team* longest = nullptr;
@@ -191,7 +194,7 @@
     --team.running;
     --m_running;
     double seconds = std::max(0.0, toSeconds(ran));
-    // The start was charged with the mean; the difference is settled now.
+    // The start was charged with the mean run; this corrects the charge to the actual run.
     team.tag += (seconds - meanRun()) / team.weight;
     m_meanRun = m_meanRun ? m_meanRun + runGain * (seconds - m_meanRun) : seconds;
     expire(now, random);
@@ -218,7 +221,7 @@
         if (team.mayStart() && (!next || team.tag < next->tag))
             next = &team;
         else if (!team.waiting.empty() && !team.mayStart())
-            // Held back by its limit, it gathers no claim on the time that others use.
+            // A team at its limit earns no credit for the time that other teams use.
             team.tag = std::max(team.tag, m_virtualTime);
     }
     return next;
@@ -255,12 +258,13 @@
     --m_waiting;
 }
 
-// A request that waits is behind those of its team that go first. The newest-first order has no such bound.
+// Returns whether the request will start too late, given the requests of its team ahead of it. With newest-first
+// order the number of requests ahead is not bounded, so only the latest useful start time is checked.
 bool FairQueue::isHopeless(const Team& team, std::list<Waiting>::const_iterator place, MonotonicTime now) const
 {
     if (!m_settings.shedsEarly)
         return false;
-    // Without any stream no wait can be told: it may be a moment, but after a few seconds it is an outage.
+    // Without capacity the wait cannot be estimated. It may be short, but after a few seconds it counts as an outage.
     if (!m_capacity)
         return m_emptySince && now - *m_emptySince >= emptyPatience;
     if (!m_meanRun)
@@ -317,14 +321,15 @@
     m_waiting = 0;
 }
 
-// Says which of the two held it up: the team's own limit, or the service.
+// Returns whether the team's limit or the service's capacity delayed the request.
 AdmissionVerdict FairQueue::lateVerdict(const Team& team) const
 {
     bool limited = team.running >= team.allowance() && m_running < m_capacity;
     return limited ? AdmissionVerdict::TeamLimit : AdmissionVerdict::WouldMissDeadline;
 }
 
-// The team's share by weight of what the teams without a queue leave, within its own limit.
+// The team's start rate: its weighted share of the streams not used by teams without waiting requests, within its
+// limit.
 double FairQueue::streamsPerSecond(const Team& team) const
 {
     double used = 0;
@@ -346,8 +351,8 @@
     return double(ahead) * team.secondsPerStart + std::max(0.0, team.secondsPerStart - sinceLast);
 }
 
-// Each of those refused is given a time of its own, behind the queue and behind those told before, at the rate at
-// which the team is served: they come back spread out, and later the more there are.
+// Gives each refused request its own retry time, after the waiting requests and after the retry times given before, at
+// the rate at which the team is served. Retries are thus spread out, and come later the more there are.
 Milliseconds FairQueue::retryAfter(Team& team, MonotonicTime now, Random& random)
 {
     double perSecond = streamsPerSecond(team);
--- a/src/policy/fairqueue.h
+++ b/src/policy/fairqueue.h
@@ -14,21 +14,22 @@
 
 namespace Kumquatpick {
 
-// Which of a team's waiting requests of one priority goes first.
+// The order of a team's waiting requests of equal priority.
 enum class QueueOrder : uint8_t {
     Arrival,
     Deadline,
-    NewestWhenLate, // The newest while the oldest has used up much of its time, so that some still make it.
+    NewestWhenLate, // Newest first while the oldest has used much of its time, so that some requests still meet their
+                    // deadlines.
 };
 
 struct FairQueueSettings {
     QueueOrder order = QueueOrder::Deadline;
-    bool fairBetweenTeams = true; // Off: all teams are one; for the bench.
-    bool shedsEarly = true; // Off: a request waits until its deadline.
-    double runShare = 0.25; // Of the mean run, what must be left of the deadline at the start.
+    bool fairBetweenTeams = true; // If false, all requests count as one team; for benchmarks.
+    bool shedsEarly = true; // If false, a request waits until its deadline.
+    double runShare = 0.25; // A request must start at least this share of the mean run before its deadline.
 };
 
-// Names a waiting request; chosen by the caller, unique while it waits or runs.
+// Identifies a request; chosen by the caller, unique while the request waits or runs.
 using Ticket = uint64_t;
 
 struct QueueRequest {
@@ -43,39 +44,39 @@
     AdmissionOutcome outcome;
 };
 
-// The decisions of Admission for one service: weighted fair queueing (start-time fair queueing, charged by the
-// time that streams ran) between teams, with bounded queues and early refusal. State, event and time in, decisions
-// out. Not thread-safe.
+// The admission logic for one service: start-time fair queueing between weighted teams, charged by the time that
+// streams ran, with bounded queues and early refusal. Deterministic for given events, times and random values. Not
+// thread-safe.
 class FairQueue {
 public:
     explicit FairQueue(FairQueueSettings settings = {});
 
     void configure(uint32_t queueLimit, std::span<const TeamText>);
     void setCapacity(uint32_t streams, MonotonicTime now, Random&);
-    // Of this service, summed over the other nodes; a team left out uses nothing there.
+    // Usage of this service summed over the other nodes; teams not listed count as unused there.
     void setOthersUsage(std::span<const TeamUsage>, MonotonicTime now);
 
-    // Decided at once, or waiting if empty.
+    // Returns the outcome if it is decided at once, or nothing if the request waits.
     std::optional<AdmissionOutcome> arrive(const QueueRequest&, MonotonicTime now, Random&);
     void release(std::string_view team, std::chrono::nanoseconds ran, MonotonicTime now, Random&);
-    // Refuses what can no longer meet its deadline.
+    // Refuses waiting requests that can no longer meet their deadlines.
     void expire(MonotonicTime now, Random&);
-    // Takes out a request that waits, whose caller is gone. Says whether it did.
+    // Removes a waiting request whose caller has disconnected. Returns whether it was waiting.
     bool withdraw(Ticket);
     void refuseAll(AdmissionVerdict, Milliseconds retryAfter);
 
-    // What was decided about waiting requests since the last call, in order.
+    // Returns the decisions on waiting requests since the last call, in order.
     std::vector<QueueDecision> takeDecisions();
-    // When expire() will refuse this one if nothing else happens; empty if it does not wait.
+    // The time from which expire() refuses the request; empty if it is not waiting.
     std::optional<MonotonicTime> giveUpAt(Ticket) const;
-    // The earliest of these.
+    // The earliest such time over all waiting requests.
     std::optional<MonotonicTime> nextExpiry() const;
 
     std::vector<TeamUsage> usage(std::string_view service) const;
     uint32_t running() const { return m_running; }
     uint32_t waiting() const { return m_waiting; }
     uint32_t capacity() const { return m_capacity; }
-    // Streams of the team that this node may run now.
+    // The number of the team's streams that this node may run now.
     uint32_t teamAllowance(std::string_view team) const;
 
 private:
@@ -84,7 +85,7 @@
         Priority priority = Priority::Normal;
         MonotonicTime arrived;
         MonotonicTime deadline;
-        MonotonicTime giveUpAt; // The last moment at which a start still makes sense.
+        MonotonicTime giveUpAt; // The latest useful start time.
     };
 
     struct Team {
@@ -93,14 +94,15 @@
         uint32_t running = 0;
         uint32_t othersRunning = 0;
         uint32_t othersWaiting = 0;
-        uint32_t runningAtUpdate = 0; // Of others' usage; and at the one before.
+        uint32_t runningAtUpdate
+            = 0; // `running` at the latest update of the other nodes' usage, and at the one before it.
         uint32_t runningBefore = 0;
-        double tag = 0; // Virtual time from which its next start counts.
-        std::list<Waiting> waiting; // By priority, then by order.
-        // Measured while it has a queue: seconds from one start to the next. Knows of limits and priorities.
+        double tag = 0; // Virtual start time of its next request.
+        std::list<Waiting> waiting; // Sorted by priority, then by FairQueueSettings::order.
+        // Mean seconds between starts, measured while requests wait, so that it includes the effect of limits.
         double secondsPerStart = 0;
-        MonotonicTime lastStart {}; // Or when its queue began.
-        MonotonicTime promised {}; // When the latest of those refused was told to come back.
+        MonotonicTime lastStart {}; // Or when the queue last became non-empty.
+        MonotonicTime promised {}; // The latest retry time given to a refused request.
 
         uint32_t allowance() const;
         double othersGrowth() const;
@@ -133,12 +135,12 @@
     Teams m_teams;
     std::vector<QueueDecision> m_decisions;
     uint32_t m_capacity = 0;
-    std::optional<MonotonicTime> m_emptySince; // When the capacity was first seen at none.
+    std::optional<MonotonicTime> m_emptySince; // Time since which the capacity has been 0.
     uint32_t m_queueLimit = 256;
     uint32_t m_running = 0;
     uint32_t m_waiting = 0;
     double m_virtualTime = 0;
-    double m_meanRun = 0; // Seconds; 0 until one has ended.
+    double m_meanRun = 0; // Seconds; 0 until a run has ended.
 };
 
 } // namespace Kumquatpick
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    // Prices of the score, found by `kumquatpick bench`; docs/PLACEMENT.md has the tries.
-    constexpr double domainLossPrice = 1.0; // Of losing the whole service with the domain.
+    // Costs used by the score, tuned with `kumquatpick bench`; docs/PLACEMENT.md lists the values tried.
+    constexpr double domainLossPrice = 1.0; // Losing the whole service with the domain.
     constexpr double zoneImbalancePrice = 0.5;
-    constexpr double coldLoadPrice = 0.6; // Of loading every host from the weight store.
-    constexpr double lastSparePrice = 0.2; // Of leaving the domain without a host to repair with.
-    constexpr double strandedHostPrice = 1.0; // Of each host that fits into no replica any more.
-    constexpr double brokenBlockPrice = 0.02; // Of each free host left over, usable or not.
+    constexpr double coldLoadPrice = 0.6; // Loading every host from the weight store.
+    constexpr double lastSparePrice = 0.2; // Leaving the domain without a spare host.
+    constexpr double strandedHostPrice = 1.0; // Each host that no replica can use any more.
+    constexpr double brokenBlockPrice = 0.02; // Each remaining free host, usable or not.
 
     uint32_t replicasOf(const PlacementDomain& domain, uint32_t service)
     {
@@ -36,7 +36,7 @@
         return static_cast<uint32_t>(std::count_if(domain.freeHosts.begin(), domain.freeHosts.end(), isWarm));
     }
 
-    // Warm hosts first; then those whose memory holds nothing worth keeping.
+    // Prefers hosts with this service's weights in memory, then hosts with no weights in memory.
     std::vector<std::string> pickHosts(const PlacementDomain& domain, uint32_t service, uint32_t count)
     {
         std::vector<const FreeHost*> order;
@@ -75,7 +75,7 @@
         return strandedHostPrice * newlyUnusable + brokenBlockPrice * after;
     }
 
-    // The two cheapest domains: a move must leave the domain that it makes room in.
+    // The two cheapest domains. The second is needed because a move must go to another domain.
     struct CheapestDomains {
         std::optional<uint32_t> best;
         std::optional<uint32_t> second;
@@ -166,8 +166,8 @@
     return choiceIn(view, service, *ranked.best);
 }
 
-// Only replicas smaller than the one that needs room are worth moving, and only one at a time: the hosts of a
-// second move may be gone when the first one is done. The smallest one is the cheapest to load again.
+// Only replicas smaller than the one that needs room are moved, and only one at a time: the hosts for a second move may
+// be taken before the first one completes. The smallest replica is the cheapest to load again.
 std::optional<PlacementMove> chooseMove(const PlacementView& view, uint32_t service)
 {
     uint32_t needed = view.services[service].hostsPerReplica;
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -8,7 +8,7 @@
 
 namespace Kumquatpick {
 
-// A service as placement sees it; kept by index, as the decision runs over every domain.
+// Placement input for one service. Services are referred to by index, because each decision scans every domain.
 struct PlacementService {
     uint32_t hostsPerReplica = 1;
     uint32_t wanted = 0;
@@ -17,7 +17,7 @@
     double strandedWeight = 0.5;
 };
 
-// A host that no replica holds, alive and not leaving.
+// A live host that runs no replica and is not leaving.
 struct FreeHost {
     std::string host;
     // Index of the service whose weights are still in its memory; noService if none.
@@ -44,14 +44,14 @@
     uint32_t zones = 1;
 };
 
-// Where a replica goes: so many hosts of one domain.
+// The domain and hosts chosen for a replica.
 struct PlacementChoice {
     uint32_t domain = 0;
     std::vector<std::string> hosts;
 };
 
-// A replica that should be built a second time elsewhere and then ended, so that the hosts it leaves
-// complete a replica that fits nowhere now.
+// A replica to rebuild in another domain and then remove from its current one, so that the freed hosts make room for a
+// replica that fits nowhere now.
 struct PlacementMove {
     uint32_t service = 0;
     std::string replica;
@@ -59,23 +59,24 @@
     PlacementChoice to;
 };
 
-// The baseline: the first domain with enough free hosts, its first hosts.
+// Baseline: the first free hosts of the first domain with enough of them.
 std::optional<PlacementChoice> firstFit(const PlacementView&, uint32_t service);
 
-// Weighs what a domain's loss would cost, how soon the replica serves, and which hosts would be left over
-// that no replica fits on, by the service's two weights. Nothing if no domain has enough free hosts.
+// Chooses the domain with the lowest cost: the effect of losing the domain, the time until the replica serves, and the
+// remaining hosts that no replica fits on, combined by the service's two weights. Returns nothing if no domain has
+// enough free hosts.
 std::optional<PlacementChoice> choosePlacement(const PlacementView&, uint32_t service);
 
-// For a service that fits nowhere: the cheapest single move that makes room for it.
+// Returns the cheapest single move that makes room for a service that fits nowhere.
 std::optional<PlacementMove> chooseMove(const PlacementView&, uint32_t service);
 
-// How many moves may load at once: each one takes a share of the weight store from replicas that are down.
+// The number of moves that may load at once: each takes bandwidth of the weight store from replicas that are down.
 uint32_t movesAtOnce(const PlacementService&, bool recoveriesWait);
 
-// Whether the loads of moves wait until no replica that is down has loads to do.
+// Whether moves start loading only after all replicas that are down have loaded.
 bool recoveryLoadsFirst(const PlacementService&);
 
-// Of this many hosts in one domain, how many no combination of replicas can use.
+// How many of this many hosts in one domain remain unused in the best combination of replicas.
 uint32_t unusableHosts(std::span<const PlacementService>, uint32_t hosts);
 
 } // namespace Kumquatpick
--- a/src/policy/prefixmap.cpp
+++ b/src/policy/prefixmap.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // What was heard before a gap is believed over one gap, not over two: most of it is still cached.
+    // Entries stay valid over one gap, as most prefixes are still cached after it, but not over two.
     constexpr uint32_t gapsSurvived = 1;
 
     double shareOf(size_t matched, size_t all)
--- a/src/policy/prefixmap.h
+++ b/src/policy/prefixmap.h
@@ -10,23 +10,23 @@
 
 namespace Kumquatpick {
 
-// Which replicas are believed to hold the cache of which prompt prefixes. What it hears is late and has gaps, so
-// that it is a hint, never a fact. Bounded; the prefix longest unused is forgotten first.
+// Tracks which replicas probably have which prompt prefixes cached. Cache events arrive late and some are lost, so the
+// entries are only hints. The map is bounded and evicts the least recently used prefix.
 class PrefixMap {
 public:
     struct Match {
-        double hitShare = 0; // Of the prompt, 0..1.
-        std::vector<std::string> holders; // Of the longest known prefix, latest heard of last.
+        double hitShare = 0; // Cached share of the prompt, 0..1.
+        std::vector<std::string> holders; // Replicas with the longest known prefix, the latest reported last.
     };
 
     void stored(uint64_t prefix, std::string_view replica);
     void dropped(uint64_t prefix, std::string_view replica);
-    // Events were lost: what was believed before may have been evicted since.
+    // Records that events of the replica were lost: its earlier entries may have been evicted since.
     void doubt(std::string_view replica);
 
-    // Prefixes shortest first, each twice the length of the one before.
+    // Takes the prefixes shortest first, each twice as long as the one before.
     Match longest(std::span<const uint64_t> prefixes);
-    // The share of the prompt that one replica is believed to hold.
+    // The share of the prompt that the replica probably has cached.
     double hitShare(std::span<const uint64_t> prefixes, std::string_view replica) const;
 
     size_t size() const { return m_entries.size(); }
@@ -36,7 +36,7 @@
 private:
     struct Holder {
         uint32_t replica = 0;
-        uint32_t doubts = 0; // The replica's count of gaps when this was heard.
+        uint32_t doubts = 0; // The replica's number of gaps when this entry was recorded.
     };
 
     struct Entry {
@@ -48,7 +48,7 @@
     bool believed(const Holder&) const;
 
     std::unordered_map<uint64_t, Entry> m_entries;
-    std::list<uint64_t> m_byUse; // Longest unused first.
+    std::list<uint64_t> m_byUse; // Least recently used first.
     std::unordered_map<std::string, uint32_t> m_indexes;
     std::vector<std::string> m_names;
     std::vector<uint32_t> m_doubts;
--- a/src/policy/retrybudget.cpp
+++ b/src/policy/retrybudget.cpp
@@ -7,18 +7,19 @@
 
 namespace {
 
-    // Of a retry: a full outage costs a twentieth more work at most, not a multiple.
+    // In retries. A full outage thus adds at most a twentieth to the load, not a multiple of it.
     constexpr double earnedPerFirstTry = 0.05;
-    // A service with little traffic could otherwise never retry.
+    // Without it, a service with little traffic could never retry.
     constexpr double earnedPerSecond = 0.1;
     constexpr double mostSaved = 5;
     constexpr double savedAtStart = 3;
 
     constexpr double strainGain = 0.2;
-    constexpr double strainFade = 0.01; // With each first try, as one that needs no retry leaves no other trace.
-    constexpr double leastEarned = 0.02; // Of what is earned without strain.
+    constexpr double strainFade
+        = 0.01; // Per first attempt, because an attempt that needs no retry is not recorded otherwise.
+    constexpr double leastEarned = 0.02; // Share of the normal rate that is always earned.
 
-    // A budget that stays empty means that the service as a whole fails: more tries only add to its load.
+    // If the budget stays empty, the whole service is failing, and more retries would only add to its load.
     double earned(double amount, double strain) { return amount * std::max(leastEarned, 1 - strain); }
 
 } // namespace
--- a/src/policy/retrybudget.h
+++ b/src/policy/retrybudget.h
@@ -11,22 +11,23 @@
 
 namespace Kumquatpick {
 
-// Whether an error of a dispatch allows another one. repeatable: as the caller marked the request.
-// sent: whether any byte of it may have reached a backend server; an engine's answer that it did not run the
-// request (409, 503) counts as not sent.
+// Whether a dispatch that ended with this error may be retried. repeatable: whether the caller marked the request as
+// repeatable. sent: whether any byte of it may have reached a backend server; an engine's answer that it did not run
+// the request (409, 503) counts as not sent.
 bool mayRetry(ErrorCode, bool repeatable, bool sent);
 
-// Retries of a service as a share of its first tries, so that an outage is not multiplied. Thread-safe.
+// Limits a service's retries to a share of its first attempts, so that retries do not multiply the load of an outage.
+// Thread-safe.
 class RetryBudget {
 public:
     void firstTry(std::string_view service, MonotonicTime now);
-    // Takes one retry from the budget if there is one.
+    // Takes one retry from the budget. Returns false if the budget is empty.
     bool takeRetry(std::string_view service, MonotonicTime now);
 
 private:
     struct Tokens {
         double available = 0;
-        double strain = 0; // Share of the latest wishes to retry that found the budget empty.
+        double strain = 0; // Moving average: the share of recent retries that found the budget empty.
         MonotonicTime updated {};
     };
 
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -8,7 +8,7 @@
 
 namespace Kumquatpick {
 
-// Each service is a shard under its own lock.
+// The router of one service, under its own lock.
 struct Router::ServiceView {
     explicit ServiceView(Random::result_type seed)
         : random(seed)
@@ -28,7 +28,7 @@
         return found == services.end() ? nullptr : found->second.get();
     }
 
-    // Services are never taken out again, so that a view may be used without the lock of the map.
+    // Services are never removed, so a view may be used without holding the lock of the map.
     ServiceView& findOrAdd(std::string_view service)
     {
         if (ServiceView* found = find(service))
--- a/src/policy/router.h
+++ b/src/policy/router.h
@@ -14,52 +14,52 @@
 
 namespace Kumquatpick {
 
-// What of a request matters for choosing its replica.
+// The properties of a request that the choice of its replica uses.
 struct RequestShape {
     std::string_view service;
-    std::string_view zone; // Of the entry node.
-    // Hashes of the prompt's growing prefixes, shortest first; empty for plain services.
+    std::string_view zone; // Zone of the entry node.
+    // Hashes of the prompt's prefixes, shortest first, each twice as long as the one before; empty for plain services.
     std::span<const uint64_t> prefixes;
-    std::span<const std::string> avoid; // Replicas tried already.
+    std::span<const std::string> avoid; // Replicas that were already tried.
 };
 
 enum class DispatchEnd : uint8_t {
     Finished,
     CallerGone,
-    NotTaken, // Refused as full, or not sent after all: says nothing of the replica's health.
-    Failed, // Broken off, timed out or refused by the backend server.
+    NotTaken, // Refused as full, or not sent: no evidence about the replica's health.
+    Failed, // Connection lost, timed out or refused by the backend server.
 };
 
-// A late and gappy report that a replica stored or dropped the cache of a prompt prefix.
+// Reports that a replica cached or evicted a prompt prefix. Events may be late or lost.
 struct CacheEvent {
     std::string replica;
     uint64_t prefix = 0;
     bool stored = true;
-    bool gap = false; // Events before this one were lost: what is believed of the replica is doubtful.
+    bool gap = false; // Events before this one were lost, so earlier entries of the replica may be wrong.
 };
 
-// Chooses a replica by expected time to first token. One instance serves a whole node; thread-safe.
+// Chooses a replica by expected time to first token. One instance serves the whole node. Thread-safe.
 class Router {
 public:
     explicit Router(Random::result_type seed);
     ~Router();
 
-    // The replicas of a service that may get work now, with their latest reports. Replicas left out
-    // get nothing from this call on.
+    // Sets the replicas of a service that may get requests, with their latest reports. Replicas that are not
+    // listed get no requests from this call on.
     void setServing(std::string_view service, std::vector<ReplicaSample>);
     void cacheEvent(std::string_view service, const CacheEvent&);
 
-    // The replica's name, or empty if none may be chosen; counts the request as in flight there.
+    // Returns the replica's name and counts the request as in flight there; empty if no replica is available.
     std::string choose(const RequestShape&, MonotonicTime now);
-    // Each chosen request is told about until its end.
+    // Each chosen request must be followed by one ended(), and by firstToken() before it if a token arrived.
     void firstToken(
         std::string_view service, std::string_view replica, std::chrono::nanoseconds sinceDispatch, MonotonicTime now);
     void ended(std::string_view service, std::string_view replica, DispatchEnd, MonotonicTime now);
 
-    // The replica refused a request and asked this node to send it nothing for so long.
+    // Records that the replica refused a request and asked for no further requests for this time.
     void backoffAsked(std::string_view service, std::string_view replica, Milliseconds backoff, MonotonicTime now);
 
-    // Requests that the service could start at once; for admission.
+    // The number of requests that the service could start at once; used by admission control.
     uint32_t freeStreams(std::string_view service) const;
 
 private:
--- a/src/policy/servicerouter.cpp
+++ b/src/policy/servicerouter.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-    constexpr double fadeSeconds = 60; // Of the averages over the whole service.
+    constexpr double fadeSeconds = 60; // Decay of the averages over the whole service.
     constexpr double unitGain = 0.02;
     constexpr double mostSlowness = 32;
     constexpr double leastWeight = 0.01;
     constexpr double leastSeconds = 1e-4;
-    // A first success after failures is a trial passed, not yet a clean bill.
+    // A success after failures restores the weight step by step, not at once.
     constexpr double successFactor = 2;
     constexpr double secondsPerStreamAtStart = 2;
-    // A replica that asks for more is tried once again within it.
+    // A replica that asks for a longer backoff is tried again after this time.
     constexpr std::chrono::minutes longestBackoff { 2 };
-    constexpr size_t mostRemembered = 1024; // Starts and ends since a report, for a replica that stopped reporting.
+    constexpr size_t mostRemembered
+        = 1024; // Limit of the dispatches and ends kept for a replica that stopped reporting.
 
 } // namespace
 
@@ -58,7 +59,7 @@
         m_prefixes.dropped(event.prefix, event.replica);
 }
 
-// The report says how it was then; what this node started and saw end since then it knows better.
+// Adds this node's dispatches and ends since the report to the reported load.
 double ServiceRouter::correctedReport(const Replica& replica) const
 {
     double reported = double(replica.sample.reportedRunning) + replica.sample.reportedQueued;
@@ -67,9 +68,9 @@
     return std::max(reported, double(replica.inFlight));
 }
 
-// What this node has in flight is exact and of now but a part; the report is of all nodes but old. Other nodes
-// choose much as this one does, so that the scaled-up part is an estimate of its own, and no replica can lie
-// about it.
+// Combines two estimates: reports cover all nodes but are old, and this node's requests in flight are exact and current
+// but only a part. Other nodes choose replicas in much the same way, so scaling this part up gives an estimate that
+// does not depend on what replicas report.
 double ServiceRouter::load(const Replica& replica) const
 {
     if (!m_loadPerOwn)
@@ -86,7 +87,7 @@
         all += correctedReport(entry->second);
         own += entry->second.inFlight;
     }
-    // A node that just started knows nothing yet; with few requests of its own the reports must do.
+    // A node without requests in flight cannot compute the ratio and uses the reports alone until it can.
     if (own > 0)
         m_loadPerOwn = std::max(1.0, all / own);
 }
@@ -96,7 +97,7 @@
     return m_ends < 1 ? secondsPerStreamAtStart : m_inFlightSeconds / m_ends;
 }
 
-// An engine's prompt work shares it with the running streams; beyond the stream limit requests queue for a
+// Prompt processing competes with the running streams of the engine; beyond the stream limit, requests also wait for a
 // stream to end.
 double ServiceRouter::expectedBeforeSpeed(const Replica& replica, double missShare) const
 {
@@ -109,15 +110,15 @@
     return std::max(leastSeconds, seconds);
 }
 
-// What was learned fades, so that a replica which gets nothing because it was slow is tried again.
+// The learned slowness decays, so that a replica which gets no requests because it was slow is tried again.
 double ServiceRouter::learnedLogSlowness(const Replica& replica, MonotonicTime now) const
 {
     double age = std::max(0.0, toSeconds(now - replica.learnedAt));
     return replica.logSlowness * std::exp(-age / m_settings.speedMemorySeconds);
 }
 
-// What waits for its first token longer than expected counts before it has arrived: a stalled server
-// would otherwise be found out only when it answers.
+// Requests whose first token is overdue count before it arrives: otherwise a stalled server would be detected only when
+// it answers.
 double ServiceRouter::slowness(const Replica& replica, MonotonicTime now) const
 {
     if (!m_settings.learnsSpeed)
@@ -130,7 +131,7 @@
     return std::clamp(std::max(learned, overdue), 1 / mostSlowness, mostSlowness);
 }
 
-// Lost weight comes back with time, so that the replica is tried again; the trial decides.
+// The weight recovers with time, so that the replica is tried again; the result of the trial then sets the weight.
 double ServiceRouter::weight(const Replica& replica, MonotonicTime now) const
 {
     double age = std::max(0.0, toSeconds(now - replica.weightAt));
@@ -146,7 +147,8 @@
     return seconds / weight(replica, now);
 }
 
-// A few at random rather than all: nodes with the same late reports would else all pick the same replica.
+// Compares a random sample instead of all replicas: nodes with the same delayed reports would otherwise all choose the
+// same replica.
 std::vector<ServiceRouter::Replicas::value_type*> ServiceRouter::candidates(
     const RequestShape& shape, MonotonicTime now, Random& random)
 {
@@ -205,7 +207,7 @@
     return best->first;
 }
 
-// Only time ends a backoff; a later end that was asked for before stays.
+// A backoff ends only with time: a shorter one does not replace an earlier request for a later end.
 void ServiceRouter::backoffAsked(std::string_view replica, Milliseconds backoff, MonotonicTime now)
 {
     auto found = m_replicas.find(replica);
@@ -226,8 +228,8 @@
     m_accounted = std::max(m_accounted, now);
 }
 
-// A time between what a cached and an uncached prompt would take says nothing of the speed: the belief in the
-// prefix may have been wrong.
+// A time between those expected for a cached and an uncached prompt gives no information about the speed, because the
+// prefix may not have been cached.
 double ServiceRouter::observedRatio(const Pending& pending, double observed)
 {
     double ratio = 1;
@@ -244,7 +246,7 @@
     double before = learnedLogSlowness(replica, now);
     replica.logSlowness = before + m_settings.speedGain * (std::log(ratio) - before);
     replica.learnedAt = now;
-    // The unit follows the typical replica, in small steps, so that one slow replica does not drag it along.
+    // The base time changes in small bounded steps, so that it follows the typical replica and not one slow replica.
     m_unitSeconds *= std::exp(unitGain * std::clamp(std::log(ratio), -1.0, 1.0));
     m_unitSeconds = std::max(leastSeconds, m_unitSeconds);
 }
@@ -273,7 +275,7 @@
     --replica.inFlight;
     --m_totalInFlight;
     replica.ends.push_back(now);
-    // Only the difference of the two counts.
+    // Only the difference of the two sizes is used, so removing one of each does not change it.
     if (replica.ends.size() > mostRemembered && !replica.dispatches.empty()) {
         replica.ends.pop_front();
         replica.dispatches.pop_front();
--- a/src/policy/servicerouter.h
+++ b/src/policy/servicerouter.h
@@ -13,25 +13,28 @@
 
 namespace Kumquatpick {
 
-// What the choice among the replicas of one service is tuned by.
+// Parameters of the choice among the replicas of one service.
 struct RouterSettings {
-    uint32_t sampled = 20; // Replicas compared at random, beside those that hold the prompt's prefix.
+    uint32_t sampled = 20; // Random candidates, in addition to replicas with the prompt's prefix cached.
     uint32_t holdersCompared = 4;
     double otherZoneFactor = 1.05;
-    double loadSlope = 1; // First token of a full replica over that of an idle one, less one.
-    double fixedShare = 0.15; // Of a first token's time, what a cached prompt does not save.
+    double loadSlope = 1; // Relative increase of the time to first token from an idle to a full replica.
+    double fixedShare = 0.15; // Share of the time to first token that a cached prompt does not save.
     double speedGain = 0.05; // Weight of one observation of a replica's speed.
-    double failureFactor = 0.25; // Weight left after a failure.
-    double recoverySeconds = 20; // Time in which lost weight comes back for a trial.
-    double speedMemorySeconds = 60; // After which a slow replica that got nothing is tried again.
-    double jitter = 0.04; // Spread of scores, less than the zone's margin: near ties take turns.
-    double reportShare = 0.5; // Of a load estimate; the rest is this node's own in flight, scaled up.
+    double failureFactor = 0.25; // Factor applied to the weight after a failure.
+    double recoverySeconds = 20; // Time constant with which the weight recovers after failures.
+    double speedMemorySeconds
+        = 60; // Time constant with which the learned speed decays, so that a slow replica is tried again.
+    double jitter
+        = 0.04; // Random spread of scores, so that near ties alternate; less than the margin of otherZoneFactor.
+    double reportShare
+        = 0.5; // Weight of reports in the load estimate; the rest is this node's requests in flight, scaled up.
     bool learnsSpeed = true;
     bool usesPrefixes = true;
     bool correctsReports = true;
 };
 
-// The decisions of Router for one service: state, event and time in, replica out. Not thread-safe.
+// The routing logic for one service. Deterministic for given events, times and random values. Not thread-safe.
 class ServiceRouter {
 public:
     explicit ServiceRouter(RouterSettings settings = {});
@@ -47,28 +50,28 @@
 
     uint32_t freeStreams() const;
     uint32_t inFlight(std::string_view replica) const;
-    // Seconds to the first token that a request without cached prefix would see; infinite if not serving.
+    // Expected seconds to the first token of a request without a cached prefix; infinite if not serving.
     double expectedSeconds(std::string_view replica, MonotonicTime now) const;
 
 private:
     struct Pending {
         MonotonicTime dispatched;
-        double expected = 0; // Seconds, before the replica's own speed.
-        double expectedUncached = 0; // The same if the believed prefix is not there.
+        double expected = 0; // Seconds, without the correction for the replica's speed.
+        double expectedUncached = 0; // The same for a prompt without a cached prefix.
     };
 
     struct Replica {
         ReplicaSample sample;
         bool serving = false;
         uint32_t inFlight = 0;
-        std::deque<MonotonicTime> dispatches; // Since the report, oldest first.
+        std::deque<MonotonicTime> dispatches; // Dispatches since the latest report, oldest first.
         std::deque<MonotonicTime> ends;
-        std::deque<Pending> pending; // Without a first token yet, oldest first.
-        double logSlowness = 0; // Observed over expected time to first token.
+        std::deque<Pending> pending; // Requests without a first token yet, oldest first.
+        double logSlowness = 0; // Logarithm of observed over expected time to first token.
         MonotonicTime learnedAt {};
-        double weight = 1; // Lost by failures.
+        double weight = 1; // 1 for a healthy replica; lower after failures.
         MonotonicTime weightAt {};
-        MonotonicTime backedOffUntil {}; // As it asked for.
+        MonotonicTime backedOffUntil {}; // End of the backoff that the replica asked for.
     };
 
     using Replicas = std::map<std::string, Replica, std::less<>>;
@@ -91,9 +94,10 @@
     Replicas m_replicas;
     std::vector<Replicas::value_type*> m_serving;
     PrefixMap m_prefixes;
-    double m_loadPerOwn = 0; // All requests at the replicas over those of this node; 0 until known.
-    double m_unitSeconds = 0.2; // First token of an uncached prompt at an idle replica, learned.
-    // Little's law: time spent in flight over requests ended is the time of one; both fade with age.
+    double m_loadPerOwn = 0; // Ratio of all requests at the replicas to those of this node; 0 until known.
+    double m_unitSeconds = 0.2; // Learned time to first token of an uncached prompt on an idle replica.
+    // By Little's law the mean time of a request is the total time in flight divided by the number of requests that
+    // ended. Both sums decay with time.
     double m_inFlightSeconds = 0;
     double m_ends = 0;
     uint64_t m_totalInFlight = 0;
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-    // Cheaper than hashing each pair of names: 320 nodes times 12,000 replicas is near four million pairs.
+    // Combines two hashes. Cheaper than hashing each pair of names: 320 nodes and 12,000 replicas make almost four
+    // million pairs.
     uint64_t mixed(uint64_t node, uint64_t replica)
     {
         uint64_t value = node ^ (replica * 0x9E3779B97F4A7C15);
--- a/src/policy/suspicion.h
+++ b/src/policy/suspicion.h
@@ -11,43 +11,44 @@
 
 namespace Kumquatpick {
 
-// Deaths of backend servers while they ran requests of one fingerprint, as gossip carries it.
+// The number of backend server deaths during requests with one fingerprint, as sent by gossip.
 struct SuspicionCount {
     uint64_t fingerprint = 0;
-    uint64_t observer = 0; // Incarnation of the node that saw them; counts of one observer only grow.
+    uint64_t observer = 0; // Incarnation of the node that observed them; the counts of one observer never decrease.
     uint32_t deaths = 0;
-    // Deaths, over all observers, that a normal end of the same request has cleared; only grows too.
+    // Deaths, over all observers, that were cleared by a normal end of such a request; never decreases.
     uint32_t forgiven = 0;
-    // Which deaths the first ones were, as one server's death is seen by each node that had a copy there. Without
-    // them the observers' counts are added up.
+    // Identifies the first deaths, because a server's death is observed by each node that had such a request there.
+    // Deaths without an id are added up over the observers.
     std::vector<uint64_t> deathIds {};
 };
 
-// Same content, same fingerprint, whatever its key: callers resend what killed a server under new keys too.
+// Depends only on the content, not on the request's key: callers also resend a request that killed a server under a
+// new key.
 uint64_t requestFingerprint(std::string_view service, std::string_view body);
 
-// Recognises a request that kills each backend server that runs it. Thread-safe.
+// Detects requests that crash each backend server that runs them. Thread-safe.
 class SuspicionTable {
 public:
     explicit SuspicionTable(uint64_t selfIncarnation);
     ~SuspicionTable();
 
-    // Whether it may be dispatched now. Once suspected, at most one of its kind runs at a time fleet-wide
-    // as far as known, and after a few deaths none does.
+    // Whether a request with this fingerprint may be dispatched now. After one death this node runs at most one
+    // such request at a time; after a few deaths no node runs any, as far as gossip has spread the counts.
     bool mayDispatch(uint64_t fingerprint, MonotonicTime now) const;
-    // When coming back is worth it after mayDispatch() said no.
+    // Time after which a retry is worthwhile when mayDispatch() returns false.
     Milliseconds retryAfter(uint64_t fingerprint, MonotonicTime now) const;
-    // Replicas that a suspect should keep off, as another suspect of this node runs there: two suspects on one
-    // server could not be told apart. Empty for what is not suspected.
+    // Replicas that a suspected request should avoid, because this node runs another suspected request there: a death
+    // would not show which of the two caused it. Empty if the request is not suspected.
     std::vector<std::string> replicasToAvoid(uint64_t fingerprint, MonotonicTime now) const;
     void dispatched(uint64_t fingerprint, std::string_view replica, MonotonicTime now);
     void finished(uint64_t fingerprint, std::string_view replica, MonotonicTime now);
-    // An end that says nothing: the caller went away, or the backend server refused.
+    // Records an end without evidence: the caller disconnected, or the backend server refused the request.
     void withdrawn(uint64_t fingerprint, std::string_view replica);
-    // A replica died; blames what it was running, most of all what was there at earlier deaths too.
+    // Records the death of a replica against all requests that it was running for this node.
     void replicaDied(std::string_view replica, MonotonicTime now);
 
-    // For gossip: what this node saw, and what is known of the requests that are stopped.
+    // The counts to send by gossip: those that this node observed, and those of all observers for stopped requests.
     std::vector<SuspicionCount> counts() const;
     void merge(std::span<const SuspicionCount>, MonotonicTime now);
 
--- a/src/policy/suspicionstate.cpp
+++ b/src/policy/suspicionstate.cpp
@@ -40,8 +40,8 @@
     return most;
 }
 
-// With age a stopped request falls back to one trial, not to a clean slate: if it kills again, it is
-// stopped again at once.
+// A stopped request that has aged keeps all but one of the deaths that stop it: it may run once, and another death
+// stops it again at once.
 uint32_t SuspicionState::counting(const Suspect& suspect, MonotonicTime now) const
 {
     uint32_t total = suspect.total();
@@ -134,8 +134,8 @@
 
 void SuspicionState::withdrawn(uint64_t fingerprint, std::string_view replica) { forgetRun(fingerprint, replica); }
 
-// Nodes that saw a replica die as often give the same death the same name, without a word between them. Where
-// they saw different numbers, one death may count twice, or two as one.
+// Nodes that observed the same number of deaths of a replica compute the same id for a death without communication.
+// Where their numbers differ, one death may count twice, or two deaths as one.
 uint64_t SuspicionState::deathId(std::string_view replica, MonotonicTime now)
 {
     if (m_deathCounts.size() >= mostDeathCounts)
@@ -151,8 +151,8 @@
     return hash64(replica, count.deaths);
 }
 
-// Every fingerprint that ran there is counted at every death: leaving out newcomers when an older suspect is at
-// hand would let a poisonous one hide behind it and break the bound.
+// Counts the death against every fingerprint that ran on the replica. If only an earlier suspect were blamed, a poison
+// request that runs beside it would not be counted and could exceed the limit on deaths.
 void SuspicionState::replicaDied(std::string_view replica, MonotonicTime now)
 {
     uint64_t death = deathId(replica, now);
@@ -197,7 +197,7 @@
     return counts;
 }
 
-// Each observer's counts only grow, so the larger one is the newer one, in whatever order they come.
+// The counts of one observer never decrease, so the larger one is the newer one, in whatever order they arrive.
 void SuspicionState::merge(std::span<const SuspicionCount> counts, MonotonicTime now)
 {
     for (const SuspicionCount& count : counts) {
@@ -213,7 +213,8 @@
     }
 }
 
-// Drops what no longer counts; if that is not enough, the one that has been quiet longest among the least guilty.
+// Drops suspects whose deaths no longer count. If that is not enough, drops the one with the fewest counted deaths, and
+// of several the one whose counts grew longest ago.
 void SuspicionState::makeRoom(MonotonicTime now)
 {
     if (m_suspects.size() < mostSuspects)
--- a/src/policy/suspicionstate.h
+++ b/src/policy/suspicionstate.h
@@ -14,39 +14,39 @@
 namespace Kumquatpick {
 
 enum class SuspicionVerdict : uint8_t {
-    Clear, // Runs like any other, or is the one suspect of its kind that may run now.
-    OneRuns, // Suspected, and one of its kind is running.
-    Stopped, // Ran on too many servers that died.
+    Clear, // Not suspected, or suspected while no request with the same fingerprint is running.
+    OneRuns, // Suspected, and a request with the same fingerprint is running.
+    Stopped, // Too many servers died while running it.
 };
 
 struct SuspicionSettings {
     // Deaths after which a request is stopped.
     uint32_t stopAfterDeaths = 3;
-    // A stopped request gets one trial this long after its latest death.
+    // A stopped request may run once this long after its latest death.
     Milliseconds stopFor = std::chrono::minutes(60);
-    // A suspicion with fewer deaths is forgotten sooner.
+    // A suspicion with fewer deaths expires after this time.
     Milliseconds suspectFor = std::chrono::minutes(10);
 };
 
-// The decisions of SuspicionTable: state, event and time in, verdict out. Not thread-safe.
+// The logic of SuspicionTable, deterministic for given events and times. Not thread-safe.
 class SuspicionState {
 public:
     static constexpr size_t mostSuspects = 4096;
     static constexpr size_t mostInGossip = 64;
-    static constexpr size_t mostDeathIds = 4; // Named by one observer of one request.
+    static constexpr size_t mostDeathIds = 4; // Per observer and fingerprint.
 
     explicit SuspicionState(uint64_t self, SuspicionSettings settings = {});
 
     SuspicionVerdict verdict(uint64_t fingerprint, MonotonicTime now) const;
     Milliseconds retryAfter(uint64_t fingerprint, MonotonicTime now) const;
     std::vector<std::string> replicasToAvoid(uint64_t fingerprint, MonotonicTime now) const;
-    // Deaths that count against it now.
+    // The number of deaths that count against the fingerprint now.
     uint32_t deaths(uint64_t fingerprint, MonotonicTime now) const;
 
     void dispatched(uint64_t fingerprint, std::string_view replica, MonotonicTime now);
-    // A normal end: what killed the servers before was something else.
+    // Records a normal end, which shows that this request did not cause the earlier deaths.
     void finished(uint64_t fingerprint, std::string_view replica, MonotonicTime now);
-    // An end that says nothing: the caller went away, or the backend server refused.
+    // Records an end without evidence: the caller disconnected, or the backend server refused the request.
     void withdrawn(uint64_t fingerprint, std::string_view replica);
     void replicaDied(std::string_view replica, MonotonicTime now);
 
@@ -64,7 +64,7 @@
 
     struct Suspect {
         std::map<uint64_t, Seen> byObserver;
-        MonotonicTime latest {}; // When the counts last grew here.
+        MonotonicTime latest {}; // When this node last saw the counts grow.
 
         uint32_t total() const;
         uint32_t forgiven() const;
@@ -74,7 +74,7 @@
     void makeRoom(MonotonicTime now);
     void forgetRun(uint64_t fingerprint, std::string_view replica);
 
-    // How often a replica died, as far as seen here; repeated reports of one death count once.
+    // Deaths of one replica as observed by this node; repeated reports of the same death count once.
     struct DeathCount {
         uint32_t deaths = 0;
         MonotonicTime latest {};
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -28,7 +28,7 @@
         return { ticket, team, priority, deadline };
     }
 
-    // A queue with every stream taken and a mean run of one second.
+    // A queue with all streams in use and a mean run of one second.
     struct BusyQueue {
         explicit BusyQueue(uint32_t streams, std::vector<TeamText> teams = {}, uint32_t queueLimit = 1000)
         {
@@ -51,7 +51,7 @@
         Ticket last = 0;
     };
 
-    // Runs all that wait on one stream; hands back the teams in the order of their starts.
+    // Runs the waiting requests on one stream and returns their teams in the order of their starts.
     std::vector<std::string> drain(FairQueue& queue, std::map<Ticket, std::string>& teamOf,
         const std::map<std::string, std::chrono::seconds>& runs, size_t starts)
     {
@@ -67,8 +67,8 @@
 
 } // namespace
 
-// While all teams have requests waiting, what each was given for its weight differs by less than one request of
-// each, in whatever order they arrived and ended.
+// While all teams have waiting requests, their starts divided by weight differ by at most one request of each team,
+// whatever the order of arrivals and ends.
 RC_GTEST_PROP(FairQueue, SharesFollowWeightsForAnyArrivalOrder, ())
 {
     constexpr int perTeam = 30;
@@ -146,8 +146,8 @@
     EXPECT_NEAR(double(std::count(order.begin(), order.end(), "b")), 10, 2);
 }
 
-// Any sequence of events: no start beyond the capacity or a team's limit, one decision for each request, and what
-// was admitted is what runs.
+// For any sequence of events, no start exceeds the capacity or a team's limit, each request gets one decision, and the
+// running counts match the admitted requests.
 RC_GTEST_PROP(FairQueue, KeepsItsBoundsAndItsAccounts, (uint64_t seed))
 {
     constexpr uint32_t queueLimit = 6;
@@ -207,7 +207,7 @@
     RC_ASSERT(queue.takeDecisions().size() == waiting.size());
 }
 
-// With what the others run known, the streams of a team over all nodes stay within its limit.
+// If each node has the current usage of the others, a team's streams over all nodes stay within its limit.
 RC_GTEST_PROP(FairQueue, TeamLimitHoldsOverNodesThatKnowEachOther, (uint64_t seed))
 {
     constexpr uint32_t limit = 10;
@@ -238,7 +238,7 @@
     }
 }
 
-// What cannot be served in time is refused on arrival, not when its deadline comes.
+// A request that cannot be served in time must be refused on arrival, not at its deadline.
 TEST(FairQueue, RefusesAtOnceWhatWouldMissItsDeadline)
 {
     BusyQueue busy(2);
@@ -251,7 +251,7 @@
         EXPECT_EQ(outcome->verdict, AdmissionVerdict::WouldMissDeadline);
         EXPECT_GT(outcome->retryAfter, 0ms);
     }
-    // Both streams are taken, and with a mean run of a second no more than 16 can start within the 8 seconds.
+    // Both streams are in use, and with a mean run of one second at most 16 requests can start within 8 seconds.
     EXPECT_GE(refused, 14U);
     EXPECT_LE(refused, 26U);
     EXPECT_EQ(busy.arrive("a", start)->verdict, AdmissionVerdict::WouldMissDeadline);
@@ -335,7 +335,7 @@
     EXPECT_FALSE(busy.queue.nextExpiry() && *busy.queue.nextExpiry() <= start + 2s);
 }
 
-// A service without any stream is waited for over a hiccup; after that nobody is kept waiting for nothing.
+// Requests wait through a short loss of all capacity. After a few seconds without capacity they are refused.
 TEST(FairQueue, AnOutageIsNotWaitedOutInTheQueue)
 {
     BusyQueue busy(1);
@@ -370,7 +370,7 @@
     RC_ASSERT(capacityShare(streams, 0, own, 1) == streams);
 }
 
-// Threads that wait are each woken for their own decision; never more run than there are streams.
+// Each waiting thread is woken for its own decision, and the running requests never exceed the capacity.
 TEST(Admission, ThreadsNeverExceedTheCapacityAndAllGetTheirTurn)
 {
     constexpr uint32_t capacity = 3;
@@ -405,7 +405,7 @@
     EXPECT_TRUE(admission.ownUsage().empty());
 }
 
-// All that one event decides hear of it.
+// Guards against lost wake-ups when one event decides several waiting requests.
 TEST(Admission, WakesEveryoneThatOneEventAdmits)
 {
     constexpr uint32_t callers = 4;
--- a/tests/policy/bench_test.cpp
+++ b/tests/policy/bench_test.cpp
@@ -15,7 +15,7 @@
         EXPECT_EQ(row.size(), first.columns.size());
 }
 
-// Against times worked out by hand: an idle replica, one that is shared, one that is full, a cached prompt.
+// Compares with times computed by hand for an idle, a shared and a full replica and for a cached prompt.
 TEST(PolicyBench, TheModelReplicaKeepsTime)
 {
     EventQueue events;
@@ -30,8 +30,8 @@
     events.runUntil(100);
     EXPECT_DOUBLE_EQ(firstTokens[1], 3);
     EXPECT_DOUBLE_EQ(ends[1], 6);
-    // Both prefixes are cached, so that only the fixed second is left; two streams run at 1 / 1.5 each, and the
-    // third waits for one to end.
+    // Both prefixes are cached, so only the fixed second remains. Two streams run at 1 / 1.5 of the speed each, and the
+    // third request waits for one of them to end.
     replica.start({ 2, { 10, 11 }, 2, 1, 1 });
     replica.start({ 3, { 10, 11 }, 2, 1, 1 });
     replica.start({ 4, {}, 0, 1, 1 });
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -111,7 +111,7 @@
     EXPECT_EQ(choosePlacement(view, 0)->hosts, (std::vector<std::string> { "c", "b" }));
 }
 
-// The decision's verdict on the same faults: the figures are a function of the seeds alone.
+// Compares the policies on the same faults; the results depend only on the seeds.
 TEST(Placement, TheWeightsMoveBothMeasuresTheUsersWay)
 {
     constexpr double slowStore = 0.08;
--- a/tests/policy/retrybudget_test.cpp
+++ b/tests/policy/retrybudget_test.cpp
@@ -25,8 +25,8 @@
     }
 }
 
-// However first tries and retries fall, the retries stay within a twentieth of the tries plus the trickle and the
-// start.
+// For any sequence of first attempts and retries, the retries stay within a twentieth of the attempts, plus the amounts
+// earned per second and available at the start.
 RC_GTEST_PROP(RetryBudget, RetriesStayWithinTheirShare, (const std::vector<std::pair<bool, uint8_t>>& steps))
 {
     RetryBudget budget;
@@ -45,7 +45,7 @@
     }
 }
 
-// A service that fails as a whole is not kept down by retries; once it is well again, retries are earned again.
+// Retries must not keep a failing service overloaded. Once it has recovered, retries are earned again.
 TEST(RetryBudget, EarnsLessWhileItStaysEmptyAndRecovers)
 {
     RetryBudget budget;
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -22,7 +22,7 @@
 
     RequestShape plain(std::span<const std::string> avoid = {}) { return { "s", "z", {}, avoid }; }
 
-    // How often each replica is chosen in a row of requests that each end before the next comes.
+    // Counts how often each replica is chosen in a sequence of requests that each end before the next arrives.
     std::map<std::string, int> choices(
         ServiceRouter& router, const RequestShape& shape, int times, MonotonicTime now, Milliseconds firstToken)
     {
@@ -40,7 +40,8 @@
 
 } // namespace
 
-// Whatever happened before, what is chosen serves and is not to be avoided; nothing is left in flight at the end.
+// After any sequence of events, the chosen replica is serving and not excluded, and no request stays in flight at the
+// end.
 RC_GTEST_PROP(Router, ChoosesOnlyWhatServes, (uint32_t seed))
 {
     Router router(seed);
@@ -93,7 +94,7 @@
     std::map<std::string, int> chosen;
     for (int i = 0; i < 10; ++i)
         ++chosen[router.choose(plain(), start + Milliseconds(i), random)];
-    // The report says a throughout; what was sent there since evens them out.
+    // By the report alone, a would always be chosen; the dispatches since then even out the two.
     EXPECT_GE(chosen["b"], 3);
     EXPECT_GE(chosen["a"], 3);
     EXPECT_EQ(router.freeStreams(), 32U - 20U);
@@ -132,7 +133,7 @@
     EXPECT_GT(choices(router, plain(), 60, now, Milliseconds(200))["a"], 5);
 }
 
-// A full engine's refusal used to count as a failure: under load the best replicas lost weight for being busy.
+// The refusal of a full engine counted as a failure, so that under load the best replicas lost weight for being busy.
 TEST(Router, ARefusalAsFullCostsNoWeight)
 {
     ServiceRouter router;
@@ -144,7 +145,7 @@
     EXPECT_LE(router.expectedSeconds("a", start), before);
 }
 
-// A replica that refused and said when to retry got the next requests all the same.
+// A replica that refused a request and asked for a backoff still got the next requests.
 TEST(Router, AReplicaThatAskedForABackoffIsLeftAloneUntilItEnds)
 {
     ServiceRouter router;
@@ -255,7 +256,7 @@
     std::vector<std::string> fewer(nodes.begin(), nodes.end() - 1);
     for (size_t i = 0; i < fewer.size(); ++i) {
         auto after = replicaSubset(fewer[i], fewer, replicas, 4);
-        // Nothing is lost by those that stay.
+        // The remaining nodes keep all replicas that they watched.
         std::set<std::string> kept(after.begin(), after.end());
         EXPECT_TRUE(std::all_of(
             before[i].begin(), before[i].end(), [&](const std::string& replica) { return kept.contains(replica); }));
--- a/tests/policy/suspicion_test.cpp
+++ b/tests/policy/suspicion_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Whatever runs beside it and ends between its runs, the request is stopped once it has killed three servers.
+// A request is stopped after three server deaths, whatever other requests run beside it or end between its runs.
 RC_GTEST_PROP(Suspicion, StopsAfterThreeDeathsForAnyInterleaving, ())
 {
     SuspicionState state(1);
@@ -42,7 +42,7 @@
         uint64_t innocent = *rc::gen::inRange<uint64_t>(0, 8);
         if (step == 0 && state.verdict(poison, now) == SuspicionVerdict::Clear) {
             RC_ASSERT(deaths < SuspicionSettings {}.stopAfterDeaths);
-            // Before the first death nothing tells it from others, so copies may run at once; after it only one.
+            // Before the first death several copies may run at once; after it only one.
             RC_ASSERT(!deaths || poisoned.empty());
             state.dispatched(poison, replica, now);
             poisoned.push_back(replica);
@@ -62,7 +62,7 @@
         RC_ASSERT(state.verdict(poison, now) == SuspicionVerdict::Stopped);
 }
 
-// Gossip comes in any order, repeated, and cut into pieces: the counts end up the same.
+// Gossip may arrive in any order, repeated and in parts; the resulting counts must be the same.
 RC_GTEST_PROP(
     Suspicion, MergesCommuteAndRepeat, (const std::vector<std::tuple<uint8_t, uint8_t, uint8_t, uint8_t>>& raw))
 {
@@ -99,10 +99,10 @@
     second.replicaDied("c", start);
     EXPECT_EQ(second.verdict(poison, start), SuspicionVerdict::Stopped);
     EXPECT_GT(second.retryAfter(poison, start), Milliseconds(0));
-    // A node that started later hears it from the second alone, even if the first is gone.
+    // A node that starts later gets all counts from the second node, even if the first has left.
     fresh.merge(second.counts(), start);
     EXPECT_EQ(fresh.verdict(poison, start), SuspicionVerdict::Stopped);
-    // After an hour one trial is allowed; a death in it stops it again.
+    // After an hour one run is allowed; a death during that run stops the request again.
     auto later = start + SuspicionSettings {}.stopFor;
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Clear);
     fresh.dispatched(poison, "d", later);
@@ -111,7 +111,7 @@
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Stopped);
 }
 
-// Copies of a popular request ran on one server through several nodes: it died once, not once for each node.
+// Several nodes ran copies of a popular request on one server. Its single death counted once per node.
 TEST(Suspicion, OneDeathSeenByManyNodesCountsOnce)
 {
     std::vector<SuspicionState> nodes { SuspicionState(1), SuspicionState(2), SuspicionState(3), SuspicionState(4) };
@@ -120,7 +120,7 @@
         for (SuspicionState& node : nodes) {
             if (&node != &nodes[1] || i == 0)
                 node.dispatched(7, "a", now);
-            // Told by a broken stream and again by the probes.
+            // Reported by a broken stream and again by the probes.
             node.replicaDied("a", now);
             node.replicaDied("a", now + Milliseconds(300));
         }
@@ -130,7 +130,7 @@
             EXPECT_EQ(node.deaths(7, now), uint32_t(i + 1));
         }
     }
-    // What comes without the names of the deaths is added up, as nothing says that they were the same.
+    // Deaths without ids are added up, as they cannot be recognised as the same.
     std::vector<SuspicionCount> unnamed { { 8, 5, 1 }, { 8, 6, 2 } };
     nodes[0].merge(unnamed, start);
     EXPECT_EQ(nodes[0].deaths(8, start), 3U);
