--- a/src/caller/dispatch.cpp
+++ b/src/caller/dispatch.cpp
@@ -34,7 +34,7 @@
 // Tries replicas until one has begun its answer. Nothing was passed to the caller until then.
 Serving::StepResult Serving::dispatch()
 {
-    m_parts.retryBudget.firstTry(m_request.service, monotonicNow());
+    m_parts.retryBudget.recordFirstAttempt(m_request.service, monotonicNow());
     std::optional<Refusal> latest;
     for (;;) {
         if (m_connection->callerGone())
@@ -152,7 +152,7 @@
     m_head = std::get<BackendResponseHead>(settled);
     bool refuses = m_request.kind == RequestKind::Chat && saysNotRun(m_head.status);
     if (refuses && m_head.retryAfter > Milliseconds(0))
-        m_parts.router.backoffAsked(m_request.service, m_replica.replica, m_head.retryAfter, monotonicNow());
+        m_parts.router.backoffRequested(m_request.service, m_replica.replica, m_head.retryAfter, monotonicNow());
     if (refuses)
         return fail({ ErrorCode::Refused, Step::Dispatch, m_replica.leader.toString(),
             fmt::format("it answered {}", m_head.status) });
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -270,7 +270,7 @@
     report.configVersion = config.version();
     report.logOffset = reader.offset();
     report.streams = callers->inFlight();
-    report.usage = admission.ownUsage();
+    report.usage = admission.localUsage();
     report.suspicions = suspicion.counts();
     return report;
 }
@@ -278,7 +278,7 @@
 void Daemon::Parts::gossiped()
 {
     auto usage = cluster.othersUsage();
-    admission.setOthersUsage(usage);
+    admission.setRemoteUsage(usage);
     suspicion.merge(cluster.suspicions(), monotonicNow());
     std::lock_guard lock(usageMutex);
     othersRunning.clear();
@@ -299,7 +299,7 @@
         return;
     auto nodes = static_cast<uint32_t>(std::max<size_t>(1, cluster.liveNodes().size()));
     std::map<std::string, uint32_t> ownRunning;
-    for (const auto& team : admission.ownUsage())
+    for (const auto& team : admission.localUsage())
         ownRunning[team.service] += team.running;
     std::lock_guard lock(usageMutex);
     routing.refresh(*text, { othersRunning, ownRunning, nodes }, now);
--- a/src/node/codec.cpp
+++ b/src/node/codec.cpp
@@ -317,7 +317,7 @@
             suspicions[i].setFingerprint(in.suspicions[i].fingerprint);
             suspicions[i].setObserver(in.suspicions[i].observer);
             suspicions[i].setDeaths(in.suspicions[i].deaths);
-            suspicions[i].setForgiven(in.suspicions[i].forgiven);
+            suspicions[i].setForgiven(in.suspicions[i].clearedDeaths);
             auto ids = suspicions[i].initDeathIds(in.suspicions[i].deathIds.size());
             for (size_t j = 0; j < in.suspicions[i].deathIds.size(); ++j)
                 ids.set(j, in.suspicions[i].deathIds[j]);
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -16,7 +16,7 @@
 
     constexpr uint32_t defaultQueueLimit = 256;
     // Short, because other nodes can take the callers of a stopping node at once.
-    constexpr Milliseconds comeBackElsewhere { 200 };
+    constexpr Milliseconds shutdownRetryAfter { 200 };
 
     // Each waiting thread has its own condition variable, so that a free stream wakes only the thread that gets it.
     struct Waiter {
@@ -121,13 +121,13 @@
     gate.deliver();
 }
 
-void Admission::setOthersUsage(std::span<const TeamUsage> summedOverOtherNodes)
+void Admission::setRemoteUsage(std::span<const TeamUsage> summedOverOtherNodes)
 {
     std::map<std::string_view, std::vector<TeamUsage>> byService;
     for (const TeamUsage& usage : summedOverOtherNodes)
         byService[usage.service].push_back(usage);
     m_impl->forEach([&](const std::string& service, ServiceGate& gate) {
-        gate.queue.setOthersUsage(byService[service], monotonicNow());
+        gate.queue.setRemoteUsage(byService[service], monotonicNow());
         gate.deliver();
     });
 }
@@ -137,22 +137,22 @@
     ServiceGate& gate = m_impl->findOrAdd(request.service);
     std::unique_lock lock(gate.mutex);
     if (gate.shuttingDown)
-        return { AdmissionVerdict::ShuttingDown, comeBackElsewhere };
+        return { AdmissionVerdict::ShuttingDown, shutdownRetryAfter };
     QueueRequest queued { ++gate.lastTicket, request.team, request.priority, request.deadline };
-    auto atOnce = gate.queue.arrive(queued, monotonicNow(), gate.random);
+    auto immediateOutcome = gate.queue.arrive(queued, monotonicNow(), gate.random);
     gate.deliver();
-    if (atOnce)
-        return *atOnce;
-    Waiter self;
-    gate.waiters[queued.ticket] = &self;
-    while (!self.outcome) {
-        self.decided.wait_until(lock, gate.queue.giveUpAt(queued.ticket).value_or(request.deadline));
-        if (self.outcome)
+    if (immediateOutcome)
+        return *immediateOutcome;
+    Waiter waiter;
+    gate.waiters[queued.ticket] = &waiter;
+    while (!waiter.outcome) {
+        waiter.decided.wait_until(lock, gate.queue.expiresAt(queued.ticket).value_or(request.deadline));
+        if (waiter.outcome)
             break;
         gate.queue.expire(monotonicNow(), gate.random);
         gate.deliver();
     }
-    return *self.outcome;
+    return *waiter.outcome;
 }
 
 void Admission::release(std::string_view service, std::string_view team, std::chrono::nanoseconds ran)
@@ -165,7 +165,7 @@
     gate->deliver();
 }
 
-std::vector<TeamUsage> Admission::ownUsage() const
+std::vector<TeamUsage> Admission::localUsage() const
 {
     std::vector<TeamUsage> all;
     m_impl->forEach([&](const std::string& service, ServiceGate& gate) {
@@ -183,7 +183,7 @@
     }
     m_impl->forEach([](const std::string&, ServiceGate& gate) {
         gate.shuttingDown = true;
-        gate.queue.refuseAll(AdmissionVerdict::ShuttingDown, comeBackElsewhere);
+        gate.queue.refuseAll(AdmissionVerdict::ShuttingDown, shutdownRetryAfter);
         gate.deliver();
     });
 }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -56,13 +56,13 @@
     void configure(const OperatorsText&);
     // The streams that this node may run on a service at once: its share of the replicas' capacity.
     void setCapacity(std::string_view service, uint32_t streams, MonotonicTime now);
-    void setOthersUsage(std::span<const TeamUsage> summedOverOtherNodes);
+    void setRemoteUsage(std::span<const TeamUsage> summedOverOtherNodes);
 
     // Blocks until the request is admitted or refused. Each admitted request needs exactly one release().
     AdmissionOutcome admit(const AdmissionRequest&);
     void release(std::string_view service, std::string_view team, std::chrono::nanoseconds ran);
 
-    std::vector<TeamUsage> ownUsage() const;
+    std::vector<TeamUsage> localUsage() const;
     // Refuses all waiting requests and all that arrive later.
     void shutDown();
 
--- a/src/policy/bench_limits.cpp
+++ b/src/policy/bench_limits.cpp
@@ -19,19 +19,19 @@
     constexpr uint32_t allStreams = entryNodes * streamsPerNode;
     constexpr double meanRunSeconds = 4; // Before runs are truncated to the longest.
     constexpr double longestRunSeconds = 12;
-    constexpr double cutMeanRunSeconds = 3.8009; // 4 * (1 - exp(-12 / 4))
-    constexpr double patienceSeconds = 20; // Time that a caller waits for the whole answer.
-    constexpr uint32_t mostAttempts = 4; // Per request, within the caller's waiting time.
-    constexpr uint32_t mostRequests = 2; // Per caller, for the same work.
-    constexpr double asksAnewShare = 0.3; // Share of the callers without an answer that send a new request.
+    constexpr double truncatedMeanRunSeconds = 3.8009; // 4 * (1 - exp(-12 / 4))
+    constexpr double callerTimeoutSeconds = 20; // Time that a caller waits for the whole answer.
+    constexpr uint32_t maxAttempts = 4; // Per request, within the caller's waiting time.
+    constexpr uint32_t maxRequests = 2; // Per caller, for the same work.
+    constexpr double newRequestShare = 0.3; // Share of the callers without an answer that send a new request.
     constexpr double gossipPeriod = 1;
-    constexpr double calmLoad = 0.5;
+    constexpr double normalLoad = 0.5;
     constexpr double overloadFrom = 40;
     constexpr double measuredFrom = 50;
     constexpr double overloadUntil = 90;
-    constexpr double endsAt = 230;
+    constexpr double endTime = 230;
     constexpr double bucketSeconds = 5;
-    constexpr double wellShare = 0.9; // Share answered in time from which a bucket counts as recovered.
+    constexpr double recoveredShare = 0.9; // Share answered in time from which a bucket counts as recovered.
     constexpr double lateRefusalSeconds = 1;
     constexpr uint32_t seeds = 4;
     constexpr size_t firstSmall = 3; // Index; the teams before are the flooding one and two large ones.
@@ -50,7 +50,7 @@
         return models;
     }
 
-    struct LimitsWay {
+    struct LimitsVariant {
         std::string name;
         FairQueueSettings settings;
         bool oneQueue = false; // One unbounded queue shared by all nodes.
@@ -59,13 +59,13 @@
         uint32_t queueLimit = 64; // Per node.
     };
 
-    struct Wish {
+    struct CallerRequest {
         size_t team = 0;
         uint32_t node = 0;
         uint32_t attempt = 1;
-        uint32_t request = 1;
+        uint32_t requestNumber = 1;
         double arrivedAt = 0;
-        double askedAt = 0; // Start of this attempt.
+        double attemptedAt = 0; // Start of this attempt.
         double deadline = 0;
         double run = 0;
         double startedAt = 0; // Time of admission.
@@ -74,20 +74,20 @@
 
     // Totals over all seeds; times in seconds.
     struct LimitsOutcome {
-        std::array<double, 10> asked {}; // Per team, in the measured part of the overload.
+        std::array<double, 10> requested {}; // Per team, in the measured part of the overload.
         std::array<double, 10> answered {};
         double refused = 0;
         double refusedLate = 0;
         std::vector<double> smallWaits;
-        uint32_t mostFlood = 0;
+        uint32_t maxFloodStreams = 0;
         double recovery = 0; // Summed over all seeds.
-        double othersRecovery = 0;
+        double otherTeamsRecovery = 0;
 
         double share(size_t from, size_t to) const
         {
             double answeredSum = std::accumulate(answered.begin() + from, answered.begin() + to, 0.0);
-            double askedSum = std::accumulate(asked.begin() + from, asked.begin() + to, 0.0);
-            return askedSum > 0 ? answeredSum / askedSum : 0;
+            double requestedSum = std::accumulate(requested.begin() + from, requested.begin() + to, 0.0);
+            return requestedSum > 0 ? answeredSum / requestedSum : 0;
         }
 
         double allAnswered() const { return std::accumulate(answered.begin(), answered.end(), 0.0); }
@@ -100,7 +100,7 @@
         {
             auto index = static_cast<size_t>(arrivedAt / bucketSeconds);
             m_buckets.resize(std::max(m_buckets.size(), index + 1));
-            (answered ? m_buckets[index].answered : m_buckets[index].asked) += 1;
+            (answered ? m_buckets[index].answered : m_buckets[index].requested) += 1;
         }
 
         // Seconds from the end of the overload to the end of the last bucket with too few answers in time. The last
@@ -108,9 +108,9 @@
         double recovery() const
         {
             double recovered = 0;
-            auto last = static_cast<size_t>((endsAt - patienceSeconds) / bucketSeconds);
+            auto last = static_cast<size_t>((endTime - callerTimeoutSeconds) / bucketSeconds);
             for (auto index = static_cast<size_t>(overloadUntil / bucketSeconds); index < last; ++index) {
-                if (m_buckets[index].answered < wellShare * m_buckets[index].asked)
+                if (m_buckets[index].answered < recoveredShare * m_buckets[index].requested)
                     recovered = double(index + 1) * bucketSeconds - overloadUntil;
             }
             return recovered;
@@ -118,7 +118,7 @@
 
     private:
         struct Bucket {
-            double asked = 0;
+            double requested = 0;
             double answered = 0;
         };
 
@@ -127,21 +127,21 @@
 
     class LimitsRun {
     public:
-        LimitsRun(const LimitsWay& way, double overload, uint64_t seed, LimitsOutcome& outcome)
+        LimitsRun(const LimitsVariant& variant, double overload, uint64_t seed, LimitsOutcome& outcome)
             : m_outcome(outcome)
             , m_overload(overload)
-            , m_sharesUnused(way.sharesUnused)
+            , m_sharesUnused(variant.sharesUnused)
             , m_load(seed)
             , m_random(seed + 1)
         {
-            uint32_t count = way.oneQueue ? 1 : entryNodes;
-            uint32_t streams = way.oneQueue ? allStreams : streamsPerNode;
+            uint32_t count = variant.oneQueue ? 1 : entryNodes;
+            uint32_t streams = variant.oneQueue ? allStreams : streamsPerNode;
             std::vector<TeamText> teams;
             for (const TeamModel& model : teamModels())
-                teams.push_back({ model.name, 1, way.teamLimits && model.name == "flood" ? floodLimit : 0 });
+                teams.push_back({ model.name, 1, variant.teamLimits && model.name == "flood" ? floodLimit : 0 });
             for (uint32_t node = 0; node < count; ++node) {
-                m_nodes.emplace_back(way.settings);
-                m_nodes.back().configure(way.oneQueue ? UINT32_MAX : way.queueLimit, teams);
+                m_nodes.emplace_back(variant.settings);
+                m_nodes.back().configure(variant.oneQueue ? UINT32_MAX : variant.queueLimit, teams);
                 m_nodes.back().setCapacity(streams, m_events.time(), m_random);
             }
             m_usage.resize(count);
@@ -152,68 +152,68 @@
             arrive();
             if (m_nodes.size() > 1)
                 gossip();
-            m_events.runUntil(endsAt);
+            m_events.runUntil(endTime);
             m_outcome.recovery += m_all.recovery();
-            m_outcome.othersRecovery += m_others.recovery();
+            m_outcome.otherTeamsRecovery += m_otherTeams.recovery();
         }
 
     private:
         double load() const
         {
             bool overloaded = m_events.now() >= overloadFrom && m_events.now() < overloadUntil;
-            return overloaded ? m_overload : std::min(calmLoad, m_overload);
+            return overloaded ? m_overload : std::min(normalLoad, m_overload);
         }
 
         void arrive()
         {
-            double perSecond = load() * allStreams / cutMeanRunSeconds;
+            double perSecond = load() * allStreams / truncatedMeanRunSeconds;
             m_events.after(exponential(m_load, 1 / perSecond), [this] {
                 double pick = uniform(m_load, 0, 1);
                 size_t team = 0;
                 while (team + 1 < teamModels().size() && pick >= teamModels()[team].demand)
                     pick -= teamModels()[team++].demand;
-                Wish wish;
-                wish.team = team;
-                wish.run = std::min(exponential(m_load, meanRunSeconds), longestRunSeconds);
-                ask(wish);
+                CallerRequest request;
+                request.team = team;
+                request.run = std::min(exponential(m_load, meanRunSeconds), longestRunSeconds);
+                sendRequest(request);
                 arrive();
             });
         }
 
         // Starts a new request with a new deadline.
-        void ask(Wish wish)
+        void sendRequest(CallerRequest request)
         {
-            wish.attempt = 1;
-            wish.arrivedAt = m_events.now();
-            wish.deadline = m_events.now() + patienceSeconds;
-            tally(wish, false);
-            attempt(wish);
+            request.attempt = 1;
+            request.arrivedAt = m_events.now();
+            request.deadline = m_events.now() + callerTimeoutSeconds;
+            countRequest(request, false);
+            attempt(request);
         }
 
-        void attempt(Wish wish)
+        void attempt(CallerRequest request)
         {
-            wish.node = static_cast<uint32_t>(m_random() % m_nodes.size());
-            wish.askedAt = m_events.now();
+            request.node = static_cast<uint32_t>(m_random() % m_nodes.size());
+            request.attemptedAt = m_events.now();
             Ticket ticket = ++m_lastTicket;
-            m_wishes[ticket] = wish;
-            FairQueue& node = m_nodes[wish.node];
-            QueueRequest request { ticket, teamModels()[wish.team].name, Priority::Normal,
-                EventQueue::timeAt(wish.deadline) };
-            auto outcome = node.arrive(request, m_events.time(), m_random);
-            settle(wish.node);
+            m_requests[ticket] = request;
+            FairQueue& node = m_nodes[request.node];
+            QueueRequest queueRequest { ticket, teamModels()[request.team].name, Priority::Normal,
+                EventQueue::timeAt(request.deadline) };
+            auto outcome = node.arrive(queueRequest, m_events.time(), m_random);
+            applyDecisions(request.node);
             if (outcome) {
                 decided(ticket, *outcome);
                 return;
             }
-            auto giveUpAt = node.giveUpAt(ticket);
-            double delay = giveUpAt ? toSeconds(*giveUpAt - m_events.time()) : 0;
-            m_events.after(std::max(0.0, delay) + 1e-6, [this, index = wish.node] {
+            auto expiresAt = node.expiresAt(ticket);
+            double delay = expiresAt ? toSeconds(*expiresAt - m_events.time()) : 0;
+            m_events.after(std::max(0.0, delay) + 1e-6, [this, index = request.node] {
                 m_nodes[index].expire(m_events.time(), m_random);
-                settle(index);
+                applyDecisions(index);
             });
         }
 
-        void settle(uint32_t node)
+        void applyDecisions(uint32_t node)
         {
             for (const QueueDecision& decision : m_nodes[node].takeDecisions())
                 decided(decision.ticket, decision.outcome);
@@ -221,21 +221,21 @@
 
         void decided(Ticket ticket, const AdmissionOutcome& outcome)
         {
-            Wish& wish = m_wishes[ticket];
+            CallerRequest& request = m_requests[ticket];
             if (outcome.verdict == AdmissionVerdict::Admitted)
-                start(ticket, wish);
+                start(ticket, request);
             else
                 refused(ticket, toSeconds(outcome.retryAfter));
         }
 
         // The answer is cut off at the deadline, because the caller has left by then.
-        void start(Ticket ticket, Wish& wish)
+        void start(Ticket ticket, CallerRequest& request)
         {
-            wish.startedAt = m_events.now();
-            if (wish.team >= firstSmall && overloadMeasured(wish.arrivedAt))
-                m_outcome.smallWaits.push_back(wish.startedAt - wish.arrivedAt);
-            m_floodRunning += wish.team == 0;
-            m_outcome.mostFlood = std::max(m_outcome.mostFlood, m_floodRunning);
+            request.startedAt = m_events.now();
+            if (request.team >= firstSmall && overloadMeasured(request.arrivedAt))
+                m_outcome.smallWaits.push_back(request.startedAt - request.arrivedAt);
+            m_floodRunning += request.team == 0;
+            m_outcome.maxFloodStreams = std::max(m_outcome.maxFloodStreams, m_floodRunning);
             if (m_engineRunning < allStreams)
                 runAtEngine(ticket);
             else
@@ -246,9 +246,9 @@
         void runAtEngine(Ticket ticket)
         {
             ++m_engineRunning;
-            Wish& wish = m_wishes[ticket];
-            wish.ranAt = m_events.now();
-            m_events.at(std::min(wish.ranAt + wish.run, wish.deadline), [this, ticket] {
+            CallerRequest& request = m_requests[ticket];
+            request.ranAt = m_events.now();
+            m_events.at(std::min(request.ranAt + request.run, request.deadline), [this, ticket] {
                 --m_engineRunning;
                 finish(ticket);
                 while (m_engineRunning < allStreams && !m_engineQueue.empty()) {
@@ -261,53 +261,53 @@
 
         void finish(Ticket ticket)
         {
-            Wish wish = m_wishes[ticket];
-            m_wishes.erase(ticket);
-            m_floodRunning -= wish.team == 0;
-            double ran = m_events.now() - wish.startedAt;
-            bool inTime = wish.ranAt + wish.run <= wish.deadline;
+            CallerRequest request = m_requests[ticket];
+            m_requests.erase(ticket);
+            m_floodRunning -= request.team == 0;
+            double ran = m_events.now() - request.startedAt;
+            bool inTime = request.ranAt + request.run <= request.deadline;
             if (inTime)
-                tally(wish, true);
-            m_nodes[wish.node].release(teamModels()[wish.team].name, nanoseconds(ran), m_events.time(), m_random);
-            settle(wish.node);
+                countRequest(request, true);
+            m_nodes[request.node].release(teamModels()[request.team].name, nanoseconds(ran), m_events.time(), m_random);
+            applyDecisions(request.node);
             if (!inTime)
-                askAnew(wish, 0);
+                maybeSendAgain(request, 0);
         }
 
         void refused(Ticket ticket, double retryAfter)
         {
-            Wish wish = m_wishes[ticket];
-            m_wishes.erase(ticket);
+            CallerRequest request = m_requests[ticket];
+            m_requests.erase(ticket);
             if (overloadMeasured(m_events.now())) {
                 m_outcome.refused += 1;
-                m_outcome.refusedLate += m_events.now() - wish.askedAt > lateRefusalSeconds;
+                m_outcome.refusedLate += m_events.now() - request.attemptedAt > lateRefusalSeconds;
             }
-            bool inTime = m_events.now() + retryAfter < wish.deadline;
-            if (!inTime || wish.attempt == mostAttempts) {
-                askAnew(wish, retryAfter);
+            bool inTime = m_events.now() + retryAfter < request.deadline;
+            if (!inTime || request.attempt == maxAttempts) {
+                maybeSendAgain(request, retryAfter);
                 return;
             }
-            ++wish.attempt;
-            m_events.after(retryAfter, [this, wish] { attempt(wish); });
+            ++request.attempt;
+            m_events.after(retryAfter, [this, request] { attempt(request); });
         }
 
-        void askAnew(Wish wish, double retryAfter)
+        void maybeSendAgain(CallerRequest request, double retryAfter)
         {
-            if (wish.request == mostRequests || uniform(m_random, 0, 1) >= asksAnewShare)
+            if (request.requestNumber == maxRequests || uniform(m_random, 0, 1) >= newRequestShare)
                 return;
-            ++wish.request;
-            m_events.after(retryAfter, [this, wish] { ask(wish); });
+            ++request.requestNumber;
+            m_events.after(retryAfter, [this, request] { sendRequest(request); });
         }
 
         bool overloadMeasured(double time) const { return time >= measuredFrom && time < overloadUntil; }
 
-        void tally(const Wish& wish, bool answered)
+        void countRequest(const CallerRequest& request, bool answered)
         {
-            m_all.add(wish.arrivedAt, answered);
-            if (wish.team > 0)
-                m_others.add(wish.arrivedAt, answered);
-            if (overloadMeasured(wish.arrivedAt))
-                (answered ? m_outcome.answered : m_outcome.asked)[wish.team] += 1;
+            m_all.add(request.arrivedAt, answered);
+            if (request.team > 0)
+                m_otherTeams.add(request.arrivedAt, answered);
+            if (overloadMeasured(request.arrivedAt))
+                (answered ? m_outcome.answered : m_outcome.requested)[request.team] += 1;
         }
 
         void gossip()
@@ -318,27 +318,27 @@
                     m_events.after(uniform(m_random, 0.3, 1.5), [this, node, usage] { m_usage[node] = usage; });
                 }
                 for (uint32_t node = 0; node < m_nodes.size(); ++node)
-                    tellOthers(node);
+                    applyRemoteUsage(node);
                 gossip();
             });
         }
 
-        void tellOthers(uint32_t node)
+        void applyRemoteUsage(uint32_t node)
         {
             std::vector<TeamUsage> others;
             for (uint32_t other = 0; other < m_nodes.size(); ++other) {
                 if (other != node)
                     others.insert(others.end(), m_usage[other].begin(), m_usage[other].end());
             }
-            m_nodes[node].setOthersUsage(others, m_events.time());
+            m_nodes[node].setRemoteUsage(others, m_events.time());
             if (m_sharesUnused) {
-                uint32_t othersRunning = 0;
+                uint32_t remoteRunning = 0;
                 for (const TeamUsage& usage : others)
-                    othersRunning += usage.running;
-                uint32_t share = capacityShare(allStreams, othersRunning, m_nodes[node].running(), entryNodes);
+                    remoteRunning += usage.running;
+                uint32_t share = capacityShare(allStreams, remoteRunning, m_nodes[node].running(), entryNodes);
                 m_nodes[node].setCapacity(share, m_events.time(), m_random);
             }
-            settle(node);
+            applyDecisions(node);
         }
 
         LimitsOutcome& m_outcome;
@@ -349,16 +349,16 @@
         Random m_random;
         std::vector<FairQueue> m_nodes;
         std::vector<std::vector<TeamUsage>> m_usage; // Usage of each node as last received by the other nodes.
-        std::unordered_map<Ticket, Wish> m_wishes;
+        std::unordered_map<Ticket, CallerRequest> m_requests;
         Buckets m_all;
-        Buckets m_others; // Without the flooding team.
+        Buckets m_otherTeams; // Without the flooding team.
         Ticket m_lastTicket = 0;
         uint32_t m_floodRunning = 0;
         uint32_t m_engineRunning = 0;
         std::deque<Ticket> m_engineQueue;
     };
 
-    std::vector<LimitsWay> limitsWays()
+    std::vector<LimitsVariant> limitsVariants()
     {
         FairQueueSettings plain;
         plain.fairBetweenTeams = false;
@@ -367,7 +367,7 @@
         FairQueueSettings noShedding;
         noShedding.shedsEarly = false;
         FairQueueSettings newest;
-        newest.order = QueueOrder::NewestWhenLate;
+        newest.order = QueueOrder::AdaptiveLifo;
         return {
             { "FIFO, no limits", plain, true, false },
             { "FIFO, bounded", plain, false, false },
@@ -387,20 +387,20 @@
         { "load", "way", "goodput", "small teams", "large teams", "flood", "flood's part", "most flood streams",
             "small wait p95 s", "refused late", "recovery s", "others' recovery s" },
         {} };
-    double most = allStreams / cutMeanRunSeconds * (overloadUntil - measuredFrom) * seeds;
+    double most = allStreams / truncatedMeanRunSeconds * (overloadUntil - measuredFrom) * seeds;
     auto shown = [](double value) { return fmt::format("{:.3f}", value); };
     for (double overload : { 0.5, 1.0, 2.0, 4.0 }) {
-        for (const LimitsWay& way : limitsWays()) {
+        for (const LimitsVariant& variant : limitsVariants()) {
             LimitsOutcome outcome;
             for (uint32_t run = 0; run < seeds; ++run)
-                LimitsRun(way, overload, seed + 1000 * run, outcome).run();
-            table.rows.push_back({ fmt::format("{:.1f}", overload), way.name, shown(outcome.allAnswered() / most),
+                LimitsRun(variant, overload, seed + 1000 * run, outcome).run();
+            table.rows.push_back({ fmt::format("{:.1f}", overload), variant.name, shown(outcome.allAnswered() / most),
                 shown(outcome.share(firstSmall, 10)), shown(outcome.share(1, firstSmall)), shown(outcome.share(0, 1)),
-                shown(outcome.answered[0] / std::max(1.0, outcome.allAnswered())), fmt::format("{}", outcome.mostFlood),
-                fmt::format("{:.2f}", quantile(outcome.smallWaits, 0.95)),
+                shown(outcome.answered[0] / std::max(1.0, outcome.allAnswered())),
+                fmt::format("{}", outcome.maxFloodStreams), fmt::format("{:.2f}", quantile(outcome.smallWaits, 0.95)),
                 shown(outcome.refusedLate / std::max(1.0, outcome.refused)),
                 fmt::format("{:.1f}", outcome.recovery / seeds),
-                fmt::format("{:.1f}", outcome.othersRecovery / seeds) });
+                fmt::format("{:.1f}", outcome.otherTeamsRecovery / seeds) });
         }
     }
     return table;
--- a/src/policy/bench_model.cpp
+++ b/src/policy/bench_model.cpp
@@ -92,7 +92,7 @@
         if (run.firstTokenDue) {
             run.firstTokenDue = false;
             m_running.emplace(m_work + run.answerSeconds, run);
-            m_callbacks.firstToken(run.id, run.hitShare);
+            m_callbacks.firstToken(run.id, run.hitRatio);
         } else {
             m_callbacks.finished(run.id);
         }
@@ -144,20 +144,20 @@
     for (size_t i = 0; i < prefixes.size(); ++i) {
         auto found = m_cache.find(prefixes[i]);
         if (found != m_cache.end()) {
-            m_cacheByUse.splice(m_cacheByUse.end(), m_cacheByUse, found->second.place);
+            m_cacheLruOrder.splice(m_cacheLruOrder.end(), m_cacheLruOrder, found->second.lruPosition);
             if (unbroken)
                 hit = std::exp2(static_cast<double>(i + 1) - static_cast<double>(prefixes.size()));
             continue;
         }
         unbroken = false;
         size_t units = i ? size_t(1) << (i - 1) : 1;
-        m_cache[prefixes[i]] = { m_cacheByUse.insert(m_cacheByUse.end(), prefixes[i]), units };
+        m_cache[prefixes[i]] = { m_cacheLruOrder.insert(m_cacheLruOrder.end(), prefixes[i]), units };
         m_cacheUsed += units;
         m_callbacks.cacheChanged(prefixes[i], true);
     }
     while (m_cacheUsed > m_settings.cacheUnits) {
-        uint64_t oldest = m_cacheByUse.front();
-        m_cacheByUse.pop_front();
+        uint64_t oldest = m_cacheLruOrder.front();
+        m_cacheLruOrder.pop_front();
         m_cacheUsed -= m_cache[oldest].units;
         m_cache.erase(oldest);
         m_callbacks.cacheChanged(oldest, false);
--- a/src/policy/bench_model.h
+++ b/src/policy/bench_model.h
@@ -91,7 +91,7 @@
     struct Run {
         uint64_t id = 0;
         double answerSeconds = 0;
-        double hitShare = 0;
+        double hitRatio = 0;
         bool firstTokenDue = true;
     };
 
@@ -111,9 +111,9 @@
     double m_work = 0;
     double m_advancedAt = 0;
     uint64_t m_generation = 0;
-    std::list<uint64_t> m_cacheByUse; // Least recently used first.
+    std::list<uint64_t> m_cacheLruOrder; // Least recently used first.
     struct Cached {
-        std::list<uint64_t>::iterator place;
+        std::list<uint64_t>::iterator lruPosition;
         size_t units = 0;
     };
     std::unordered_map<uint64_t, Cached> m_cache;
--- a/src/policy/bench_placement.cpp
+++ b/src/policy/bench_placement.cpp
@@ -32,8 +32,8 @@
     constexpr double meanTimeToRepair = 4;
     constexpr double meanTimeToFlap = 600;
     constexpr double flapLength = 0.05;
-    constexpr double meanTimeToDark = 24 * 45;
-    constexpr double darkLength = 1;
+    constexpr double meanTimeToDomainOutage = 24 * 45;
+    constexpr double domainOutageLength = 1;
     constexpr double never = 1e9;
     constexpr double warmLoad = 0.002; // Time to load weights that are still in the hosts' memory.
 
@@ -49,12 +49,12 @@
         double length, double end)
     {
         for (double at = exponential(random, every); at < end; at += exponential(random, every)) {
-            double back = at + exponential(random, length);
+            double recovered = at + exponential(random, length);
             for (uint32_t host : hosts) {
                 faults.push_back({ at, host, false });
-                faults.push_back({ back, host, true });
+                faults.push_back({ recovered, host, true });
             }
-            at = back;
+            at = recovered;
         }
     }
 
@@ -63,15 +63,15 @@
         Random random(seed);
         std::vector<Fault> faults;
         for (uint32_t host = 0; host < hostCount; ++host) {
-            const std::array own { host };
-            addOutages(faults, random, own, meanTimeToFailure, meanTimeToRepair, hours);
-            addOutages(faults, random, own, meanTimeToFlap, flapLength, hours);
+            const std::array single { host };
+            addOutages(faults, random, single, meanTimeToFailure, meanTimeToRepair, hours);
+            addOutages(faults, random, single, meanTimeToFlap, flapLength, hours);
         }
         for (uint32_t domain = 0; domain < domainCount; ++domain) {
             std::vector<uint32_t> hosts;
             for (uint32_t i = 0; i < hostsPerDomain; ++i)
                 hosts.push_back(domain * hostsPerDomain + i);
-            addOutages(faults, random, hosts, meanTimeToDark, darkLength, hours);
+            addOutages(faults, random, hosts, meanTimeToDomainOutage, domainOutageLength, hours);
         }
         std::stable_sort(faults.begin(), faults.end(), [](auto& a, auto& b) { return a.at < b.at; });
         return faults;
@@ -91,14 +91,14 @@
     public:
         explicit Fleet(const PlacementRun& run)
             : m_run(run)
-            , m_downs(hostCount, 0)
+            , m_faultCounts(hostCount, 0)
             , m_warmFor(hostCount, noService)
             , m_usedBy(hostCount, 0)
         {
             reconcile();
         }
 
-        PlacementFigures play()
+        PlacementMetrics run()
         {
             double end = m_run.days * 24;
             for (const Fault& fault : faultSequence(m_run.seed, end)) {
@@ -182,7 +182,7 @@
 
         uint32_t upHosts(uint32_t domain) const
         {
-            auto first = m_downs.begin() + domain * hostsPerDomain;
+            auto first = m_faultCounts.begin() + domain * hostsPerDomain;
             return static_cast<uint32_t>(std::count(first, first + hostsPerDomain, 0));
         }
 
@@ -215,22 +215,22 @@
             return unusable;
         }
 
-        bool isFree(uint32_t host) const { return m_downs[host] == 0 && m_usedBy[host] == 0; }
+        bool isFree(uint32_t host) const { return m_faultCounts[host] == 0 && m_usedBy[host] == 0; }
 
         // A host with overlapping faults (its own and its domain's) is up again when the last one ends.
         void apply(const Fault& fault)
         {
             if (fault.up) {
-                --m_downs[fault.host];
+                --m_faultCounts[fault.host];
                 return;
             }
-            ++m_downs[fault.host];
+            ++m_faultCounts[fault.host];
             m_warmFor[fault.host] = noService;
             if (m_usedBy[fault.host] != 0)
-                end(m_usedBy[fault.host]);
+                removeReplica(m_usedBy[fault.host]);
         }
 
-        void end(uint64_t id)
+        void removeReplica(uint64_t id)
         {
             Replica replica = m_replicas.at(id);
             m_replicas.erase(id);
@@ -251,7 +251,7 @@
         {
             uint64_t old = std::exchange(m_replicas.at(id).replaces, 0);
             if (old != 0 && m_replicas.contains(old))
-                end(old);
+                removeReplica(old);
         }
 
         void reconcile()
@@ -264,7 +264,7 @@
 
         bool placeOne(uint32_t service)
         {
-            PlacementView view = look();
+            PlacementView view = placementView();
             if (view.services[service].placed >= view.services[service].wanted)
                 return false;
             auto choice
@@ -303,7 +303,7 @@
             ++m_figures.moves;
         }
 
-        PlacementView look()
+        PlacementView placementView()
         {
             PlacementView view;
             view.zones = zoneCount;
@@ -371,7 +371,7 @@
 
         PlacementRun m_run;
         std::vector<PlacementService> m_services = services();
-        std::vector<uint32_t> m_downs; // Number of current faults of each host.
+        std::vector<uint32_t> m_faultCounts; // Number of current faults of each host.
         std::vector<uint32_t> m_warmFor;
         std::vector<uint64_t> m_usedBy; // Replica id; 0 if free.
         std::map<uint64_t, Replica> m_replicas;
@@ -379,11 +379,11 @@
         double m_now = 0;
         uint64_t m_loading = 0; // The replica that is loading from the store; 0 if none.
         bool m_unplaced = false;
-        PlacementFigures m_figures;
+        PlacementMetrics m_figures;
     };
 
 }
 
-PlacementFigures runPlacement(const PlacementRun& run) { return Fleet(run).play(); }
+PlacementMetrics runPlacement(const PlacementRun& run) { return Fleet(run).run(); }
 
 } // namespace Kumquatpick
--- a/src/policy/bench_placement.h
+++ b/src/policy/bench_placement.h
@@ -12,7 +12,7 @@
 };
 
 // The results of one placement run over a fault sequence.
-struct PlacementFigures {
+struct PlacementMetrics {
     double downReplicaHours = 0; // Wanted replicas that were not serving, integrated over time.
     double strandedHostHours = 0; // Healthy idle hosts while some wanted replica fits in no domain.
     double loadedHosts = 0; // Hosts whose weights were loaded from the weight store.
@@ -34,6 +34,6 @@
 
 // Simulates placement over a seeded sequence of host failures, short host outages and domain outages, with weights
 // loaded from one rate-limited weight store. The same seed gives the same faults for every policy.
-PlacementFigures runPlacement(const PlacementRun&);
+PlacementMetrics runPlacement(const PlacementRun&);
 
 } // namespace Kumquatpick
--- a/src/policy/bench_placement_table.cpp
+++ b/src/policy/bench_placement_table.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-    struct Way {
+    struct PolicyVariant {
         std::string_view name;
         PlacementPolicy policy = PlacementPolicy::Weighed;
         double groupDowntimeWeight = 0.5;
         double strandedWeight = 0.5;
     };
 
-    constexpr Way ways[] = {
+    constexpr PolicyVariant policyVariants[] = {
         { "first fit", PlacementPolicy::FirstFit },
         { "weighed, downtime 0.8, stranded 0.2", PlacementPolicy::Weighed, 0.8, 0.2 },
         { "weighed, downtime 0.2, stranded 0.8", PlacementPolicy::Weighed, 0.2, 0.8 },
@@ -34,12 +34,12 @@
     {
         std::vector<PlacementRun> runs;
         for (double hours : hoursPerLoad) {
-            for (const Way& way : ways) {
+            for (const PolicyVariant& variant : policyVariants) {
                 for (uint64_t seed = firstSeed; seed < firstSeed + seeds; ++seed) {
                     PlacementRun run;
-                    run.policy = way.policy;
-                    run.groupDowntimeWeight = way.groupDowntimeWeight;
-                    run.strandedWeight = way.strandedWeight;
+                    run.policy = variant.policy;
+                    run.groupDowntimeWeight = variant.groupDowntimeWeight;
+                    run.strandedWeight = variant.strandedWeight;
                     run.seed = seed;
                     run.hoursPerLoad = hours;
                     runs.push_back(run);
@@ -49,26 +49,26 @@
         return runs;
     }
 
-    double mean(std::span<const PlacementFigures> figures, const auto& value)
+    double mean(std::span<const PlacementMetrics> figures, const auto& value)
     {
         double sum = 0;
-        for (const PlacementFigures& one : figures)
+        for (const PlacementMetrics& one : figures)
             sum += value(one);
         return figures.empty() ? 0 : sum / static_cast<double>(figures.size());
     }
 
-    std::string cell(std::span<const PlacementFigures> figures, double PlacementFigures::*member)
+    std::string cell(std::span<const PlacementMetrics> figures, double PlacementMetrics::*member)
     {
-        return fmt::format("{:.1f}", mean(figures, [member](const PlacementFigures& one) { return one.*member; }));
+        return fmt::format("{:.1f}", mean(figures, [member](const PlacementMetrics& one) { return one.*member; }));
     }
 
-    std::vector<std::string> row(double hours, const Way& way, std::span<const PlacementFigures> figures)
+    std::vector<std::string> row(double hours, const PolicyVariant& variant, std::span<const PlacementMetrics> figures)
     {
-        double moves = mean(figures, [](const PlacementFigures& one) { return static_cast<double>(one.moves); });
-        return { fmt::format("{:.2f}", hours), std::string(way.name),
-            cell(figures, &PlacementFigures::downReplicaHours), cell(figures, &PlacementFigures::loadingHours),
-            cell(figures, &PlacementFigures::downBound), cell(figures, &PlacementFigures::strandedHostHours),
-            cell(figures, &PlacementFigures::strandedBound), cell(figures, &PlacementFigures::loadedHosts),
+        double moves = mean(figures, [](const PlacementMetrics& one) { return static_cast<double>(one.moves); });
+        return { fmt::format("{:.2f}", hours), std::string(variant.name),
+            cell(figures, &PlacementMetrics::downReplicaHours), cell(figures, &PlacementMetrics::loadingHours),
+            cell(figures, &PlacementMetrics::downBound), cell(figures, &PlacementMetrics::strandedHostHours),
+            cell(figures, &PlacementMetrics::strandedBound), cell(figures, &PlacementMetrics::loadedHosts),
             fmt::format("{:.1f}", moves) };
     }
 
@@ -77,7 +77,7 @@
 BenchTable benchPlacement(uint64_t firstSeed, uint32_t seeds)
 {
     std::vector<PlacementRun> runs = plannedRuns(firstSeed, seeds);
-    std::vector<PlacementFigures> figures(runs.size());
+    std::vector<PlacementMetrics> figures(runs.size());
     tbb::task_arena arena(runsAtOnce);
     arena.execute(
         [&] { tbb::parallel_for(size_t { 0 }, runs.size(), [&](size_t i) { figures[i] = runPlacement(runs[i]); }); });
@@ -85,10 +85,10 @@
         { "hours a load", "policy", "down replica h", "of it loading", "least possible", "stranded host h",
             "least possible", "loads", "moves" },
         {} };
-    std::span<const PlacementFigures> rest(figures);
+    std::span<const PlacementMetrics> rest(figures);
     for (double hours : hoursPerLoad) {
-        for (const Way& way : ways) {
-            table.rows.push_back(row(hours, way, rest.first(seeds)));
+        for (const PolicyVariant& variant : policyVariants) {
+            table.rows.push_back(row(hours, variant, rest.first(seeds)));
             rest = rest.subspan(seeds);
         }
     }
--- a/src/policy/bench_poison.cpp
+++ b/src/policy/bench_poison.cpp
@@ -17,13 +17,13 @@
     constexpr uint32_t nodeCount = 7;
     constexpr double perSecond = 120;
     constexpr double meanRun = 4;
-    constexpr double killsAfter = 1; // Seconds from the start of a poison request to the crash.
+    constexpr double crashAfterSeconds = 1; // Seconds from the start of a poison request to the crash.
     constexpr double reloadSeconds = 60;
-    constexpr double asksAgainSeconds = 0.5; // Delay before a poison request is sent again after a failure.
-    constexpr std::array<double, 3> poisonsAt { 30, 60, 90 };
-    constexpr double darkAt = 150; // A whole domain fails, not caused by any request.
+    constexpr double poisonRetrySeconds = 0.5; // Delay before a poison request is sent again after a failure.
+    constexpr std::array<double, 3> poisonTimes { 30, 60, 90 };
+    constexpr double domainFailureTime = 150; // A whole domain fails, not caused by any request.
     constexpr uint32_t domainReplicas = 10;
-    constexpr double endsAt = 300;
+    constexpr double endTime = 300;
     constexpr uint64_t popularCount = 50;
     constexpr double popularShare = 0.2;
     constexpr uint64_t firstPoison = 1;
@@ -33,18 +33,18 @@
 
     constexpr uint32_t seeds = 2;
 
-    struct GuardWay {
+    struct DetectionVariant {
         std::string name;
-        bool guards = true;
+        bool detects = true;
         bool gossips = true;
-        bool keepsApart = true; // Suspected requests are not dispatched to the same replica.
+        bool separatesSuspects = true; // Suspected requests are not dispatched to the same replica.
         SuspicionSettings settings {};
     };
 
     // Totals over all seeds.
     struct PoisonOutcome {
         uint32_t serversLost = 0;
-        uint32_t innocents = 0;
+        uint32_t harmlessRequests = 0;
         uint32_t unanswered = 0; // Harmless requests without an answer after one retry.
         uint32_t stopped = 0; // Harmless requests refused as poison.
         uint32_t heldBack = 0; // Suspected harmless requests delayed while one with the same fingerprint ran.
@@ -53,35 +53,35 @@
 
     class PoisonRun {
     public:
-        PoisonRun(const GuardWay& way, uint64_t seed, PoisonOutcome& outcome)
+        PoisonRun(const DetectionVariant& variant, uint64_t seed, PoisonOutcome& outcome)
             : m_outcome(outcome)
-            , m_way(way)
+            , m_variant(variant)
             , m_load(seed)
             , m_random(seed + 1)
             , m_replicas(replicaCount)
         {
             for (uint32_t node = 0; node < nodeCount; ++node)
-                m_nodes.emplace_back(node + 1, way.settings);
+                m_nodes.emplace_back(node + 1, variant.settings);
         }
 
         void run()
         {
-            for (size_t index = 0; index < poisonsAt.size(); ++index)
-                m_events.at(poisonsAt[index], [this, index] { ask({ firstPoison + index }); });
+            for (size_t index = 0; index < poisonTimes.size(); ++index)
+                m_events.at(poisonTimes[index], [this, index] { sendRequest({ firstPoison + index }); });
             arrive();
-            m_events.at(darkAt, [this] {
+            m_events.at(domainFailureTime, [this] {
                 for (uint32_t index = 0; index < domainReplicas; ++index)
-                    kill(index);
+                    crashReplica(index);
             });
-            if (m_way.guards && m_way.gossips)
+            if (m_variant.detects && m_variant.gossips)
                 gossip();
-            m_events.runUntil(endsAt);
+            m_events.runUntil(endTime);
         }
 
     private:
         struct Request {
             uint64_t fingerprint = 0;
-            double run = killsAfter;
+            double run = crashAfterSeconds;
             bool retried = false;
             uint32_t node = 0;
             uint32_t replica = 0;
@@ -92,8 +92,8 @@
             std::set<uint64_t> running; // Ids of requests.
         };
 
-        static bool poisonous(const Request& request) { return request.fingerprint < firstPopular; }
-        static std::string nameOf(uint32_t replica) { return fmt::format("r{}", replica); }
+        static bool isPoison(const Request& request) { return request.fingerprint < firstPopular; }
+        static std::string replicaName(uint32_t replica) { return fmt::format("r{}", replica); }
 
         void arrive()
         {
@@ -102,13 +102,13 @@
                 Request request;
                 request.fingerprint = popular ? firstPopular + m_load() % popularCount : firstUnique + m_lastUnique++;
                 request.run = exponential(m_load, meanRun);
-                ++m_outcome.innocents;
-                ask(request);
+                ++m_outcome.harmlessRequests;
+                sendRequest(request);
                 arrive();
             });
         }
 
-        void ask(Request request)
+        void sendRequest(Request request)
         {
             request.node = static_cast<uint32_t>(m_random() % nodeCount);
             dispatch(request);
@@ -116,43 +116,43 @@
 
         void dispatch(Request request)
         {
-            if (m_way.guards && !allowed(request))
+            if (m_variant.detects && !admitOrHandleRefusal(request))
                 return;
             std::vector<uint32_t> choices = replicasFor(request);
             if (choices.empty()) {
-                gaveUp(request);
+                handleUnanswered(request);
                 return;
             }
             request.replica = choices[m_random() % choices.size()];
             uint64_t id = ++m_lastId;
             m_requests[id] = request;
             m_replicas[request.replica].running.insert(id);
-            m_nodes[request.node].dispatched(request.fingerprint, nameOf(request.replica), m_events.time());
+            m_nodes[request.node].dispatched(request.fingerprint, replicaName(request.replica), m_events.time());
             m_events.after(request.run, [this, id] { ended(id); });
         }
 
         // Returns whether the request may run; otherwise schedules its retry or counts it as refused.
-        bool allowed(const Request& request)
+        bool admitOrHandleRefusal(const Request& request)
         {
             SuspicionState& node = m_nodes[request.node];
             SuspicionVerdict verdict = node.verdict(request.fingerprint, m_events.time());
             if (verdict == SuspicionVerdict::Clear)
                 return true;
             if (verdict == SuspicionVerdict::Stopped) {
-                refusedForGood(request);
+                handleStopped(request);
                 return false;
             }
-            m_outcome.heldBack += !poisonous(request);
+            m_outcome.heldBack += !isPoison(request);
             double retryAfter = toSeconds(node.retryAfter(request.fingerprint, m_events.time()));
-            m_events.after(retryAfter, [this, request] { ask(request); });
+            m_events.after(retryAfter, [this, request] { sendRequest(request); });
             return false;
         }
 
-        void refusedForGood(const Request& request)
+        void handleStopped(const Request& request)
         {
             // The caller of a poison request keeps retrying.
-            if (poisonous(request)) {
-                m_events.after(10 * asksAgainSeconds, [this, request] { ask(request); });
+            if (isPoison(request)) {
+                m_events.after(10 * poisonRetrySeconds, [this, request] { sendRequest(request); });
                 return;
             }
             ++m_outcome.stopped;
@@ -163,7 +163,7 @@
         std::vector<uint32_t> replicasFor(const Request& request) const
         {
             std::vector<std::string> avoid;
-            if (m_way.guards && m_way.keepsApart)
+            if (m_variant.detects && m_variant.separatesSuspects)
                 avoid = m_nodes[request.node].replicasToAvoid(request.fingerprint, m_events.time());
             std::vector<uint32_t> up;
             std::vector<uint32_t> apart;
@@ -171,7 +171,7 @@
                 if (!m_replicas[index].up)
                     continue;
                 up.push_back(index);
-                if (std::find(avoid.begin(), avoid.end(), nameOf(index)) == avoid.end())
+                if (std::find(avoid.begin(), avoid.end(), replicaName(index)) == avoid.end())
                     apart.push_back(index);
             }
             return apart.empty() ? up : apart;
@@ -183,40 +183,40 @@
             if (found == m_requests.end())
                 return;
             Request request = found->second;
-            if (poisonous(request)) {
-                kill(request.replica);
+            if (isPoison(request)) {
+                crashReplica(request.replica);
                 return;
             }
             m_requests.erase(found);
             m_replicas[request.replica].running.erase(id);
-            m_nodes[request.node].finished(request.fingerprint, nameOf(request.replica), m_events.time());
+            m_nodes[request.node].finished(request.fingerprint, replicaName(request.replica), m_events.time());
             m_firstStop.erase(request.fingerprint);
         }
 
-        void kill(uint32_t index)
+        void crashReplica(uint32_t index)
         {
             Replica& replica = m_replicas[index];
             if (!replica.up)
                 return;
-            m_outcome.serversLost += m_events.now() != darkAt;
+            m_outcome.serversLost += m_events.now() != domainFailureTime;
             replica.up = false;
             for (SuspicionState& node : m_nodes)
-                node.replicaDied(nameOf(index), m_events.time());
+                node.replicaDied(replicaName(index), m_events.time());
             std::set<uint64_t> lost = std::exchange(replica.running, {});
             for (uint64_t id : lost) {
                 Request request = m_requests[id];
                 m_requests.erase(id);
-                brokenOff(request);
+                handleBrokenOff(request);
             }
             m_events.after(reloadSeconds, [this, index] { m_replicas[index].up = true; });
         }
 
-        void brokenOff(Request request)
+        void handleBrokenOff(Request request)
         {
-            if (poisonous(request)) {
-                m_events.after(asksAgainSeconds, [this, request] { ask(request); });
+            if (isPoison(request)) {
+                m_events.after(poisonRetrySeconds, [this, request] { sendRequest(request); });
             } else if (request.retried) {
-                gaveUp(request);
+                handleUnanswered(request);
             } else {
                 // The entry node retries a broken-off request itself.
                 request.retried = true;
@@ -224,10 +224,10 @@
             }
         }
 
-        void gaveUp(const Request& request)
+        void handleUnanswered(const Request& request)
         {
-            if (poisonous(request))
-                m_events.after(asksAgainSeconds, [this, request] { ask(request); });
+            if (isPoison(request))
+                m_events.after(poisonRetrySeconds, [this, request] { sendRequest(request); });
             else
                 ++m_outcome.unanswered;
         }
@@ -249,7 +249,7 @@
         }
 
         PoisonOutcome& m_outcome;
-        const GuardWay& m_way;
+        const DetectionVariant& m_variant;
         EventQueue m_events;
         Random m_load;
         Random m_random;
@@ -267,7 +267,7 @@
 {
     BenchTable table { "poison",
         { "way", "servers lost", "innocents", "unanswered", "stopped", "held back", "longest stop s" }, {} };
-    const std::vector<GuardWay> ways {
+    const std::vector<DetectionVariant> variants {
         { "no guard", false },
         { "stop at first death", true, true, true, { 1 } },
         { "stop at second death", true, true, true, { 2 } },
@@ -275,13 +275,14 @@
         { "ours, no gossip", true, false },
         { "ours, suspects not kept apart", true, true, false },
     };
-    for (const GuardWay& way : ways) {
+    for (const DetectionVariant& variant : variants) {
         PoisonOutcome outcome;
         for (uint32_t run = 0; run < seeds; ++run)
-            PoisonRun(way, seed + 1000 * run, outcome).run();
-        table.rows.push_back({ way.name, fmt::format("{}", outcome.serversLost), fmt::format("{}", outcome.innocents),
-            fmt::format("{}", outcome.unanswered), fmt::format("{}", outcome.stopped),
-            fmt::format("{}", outcome.heldBack), fmt::format("{:.0f}", outcome.longestStop) });
+            PoisonRun(variant, seed + 1000 * run, outcome).run();
+        table.rows.push_back(
+            { variant.name, fmt::format("{}", outcome.serversLost), fmt::format("{}", outcome.harmlessRequests),
+                fmt::format("{}", outcome.unanswered), fmt::format("{}", outcome.stopped),
+                fmt::format("{}", outcome.heldBack), fmt::format("{:.0f}", outcome.longestStop) });
     }
     return table;
 }
--- a/src/policy/bench_retries.cpp
+++ b/src/policy/bench_retries.cpp
@@ -20,16 +20,16 @@
     constexpr double fullRate = streamLimit / (1 + sharing * (streamLimit - 1)); // Seconds of work done per second.
     constexpr double meanSeconds = 1.5;
     constexpr double longestSeconds = 4;
-    constexpr double cutMeanSeconds = 1.3958; // 1.5 * (1 - exp(-4 / 1.5))
-    constexpr double tryTimeout = 6;
-    constexpr double patience = 20;
+    constexpr double truncatedMeanSeconds = 1.3958; // 1.5 * (1 - exp(-4 / 1.5))
+    constexpr double attemptTimeout = 6;
+    constexpr double callerTimeout = 20;
     constexpr double refusalSeconds = 0.05;
-    constexpr uint32_t mostRetries = 3;
+    constexpr uint32_t maxRetries = 3;
     constexpr double outageFrom = 30;
     constexpr double outageUntil = 90;
-    constexpr double endsAt = 200;
+    constexpr double endTime = 200;
     constexpr double bucketSeconds = 5;
-    constexpr double wellShare = 0.95;
+    constexpr double recoveredShare = 0.95;
     constexpr double reportPeriod = 1;
 
     constexpr uint32_t seeds = 4;
@@ -40,7 +40,7 @@
         Overload, // All replicas work, but the load exceeds their capacity.
     };
 
-    enum class RetryWay : uint8_t {
+    enum class RetryMode : uint8_t {
         Never,
         Always, // Up to the limit on retries.
         Budget,
@@ -57,10 +57,10 @@
 
     class RetryRun {
     public:
-        RetryRun(Outage outage, RetryWay way, uint64_t seed, RetryOutcome& outcome)
+        RetryRun(Outage outage, RetryMode mode, uint64_t seed, RetryOutcome& outcome)
             : m_outcome(outcome)
             , m_outage(outage)
-            , m_way(way)
+            , m_mode(mode)
             , m_load(seed)
             , m_random(seed + 1)
             , m_routers(nodeCount)
@@ -80,7 +80,7 @@
         {
             report();
             arrive();
-            m_events.runUntil(endsAt);
+            m_events.runUntil(endTime);
             m_outcome.recovery += recovery();
         }
 
@@ -91,13 +91,13 @@
             uint32_t retries = 0;
             double seconds = 0;
             double arrivedAt = 0;
-            double triedAt = 0;
+            double attemptedAt = 0;
             uint64_t firstId = 0; // Each attempt has its own id.
             std::vector<std::string> tried;
         };
 
         struct Bucket {
-            double asked = 0;
+            double requested = 0;
             double answered = 0;
         };
 
@@ -126,14 +126,14 @@
 
         void arrive()
         {
-            double perSecond = load() * replicaCount * fullRate / cutMeanSeconds;
+            double perSecond = load() * replicaCount * fullRate / truncatedMeanSeconds;
             m_events.after(exponential(m_load, 1 / perSecond), [this] {
                 Request request;
                 request.node = static_cast<uint32_t>(m_load() % nodeCount);
                 request.seconds = std::min(exponential(m_load, meanSeconds), longestSeconds);
                 request.arrivedAt = m_events.now();
-                m_budgets[request.node].firstTry("model", m_events.time());
-                bucketOf(request).asked += 1;
+                m_budgets[request.node].recordFirstAttempt("model", m_events.time());
+                bucketOf(request).requested += 1;
                 m_outcome.requests += inOutage(request.arrivedAt);
                 dispatch(std::move(request));
                 arrive();
@@ -148,7 +148,7 @@
                 return;
             request.replica = static_cast<uint32_t>(std::stoul(name.substr(1)));
             request.tried.push_back(name);
-            request.triedAt = m_events.now();
+            request.attemptedAt = m_events.now();
             m_outcome.dispatches += inOutage(request.arrivedAt);
             uint64_t id = ++m_lastId;
             bool fails = failing(request.replica);
@@ -158,23 +158,23 @@
             if (!fails)
                 m_replicas[replica]->start(std::move(work));
             bool refused = fails && m_outage == Outage::Refusing;
-            m_events.after(refused ? refusalSeconds : tryTimeout, [this, id] { failed(id); });
+            m_events.after(refused ? refusalSeconds : attemptTimeout, [this, id] { failed(id); });
         }
 
         void firstToken(uint64_t id)
         {
             const Request& request = m_requests[id];
             m_routers[request.node].firstToken(
-                nameOf(request), nanoseconds(m_events.now() - request.triedAt), m_events.time());
+                replicaName(request), nanoseconds(m_events.now() - request.attemptedAt), m_events.time());
         }
 
         void finished(uint64_t id)
         {
             Request request = std::move(m_requests[id]);
             m_requests.erase(id);
-            m_routers[request.node].ended(nameOf(request), DispatchEnd::Finished, m_events.time());
+            m_routers[request.node].ended(replicaName(request), DispatchEnd::Finished, m_events.time());
             double seconds = m_events.now() - request.arrivedAt;
-            if (seconds > patience)
+            if (seconds > callerTimeout)
                 return;
             bucketOf(request).answered += 1;
             if (!inOutage(request.arrivedAt))
@@ -191,21 +191,21 @@
             Request request = std::move(found->second);
             m_requests.erase(found);
             m_replicas[request.replica]->cancel(id);
-            m_routers[request.node].ended(nameOf(request), DispatchEnd::Failed, m_events.time());
-            if (m_events.now() - request.arrivedAt > patience - tryTimeout || !retries(request))
+            m_routers[request.node].ended(replicaName(request), DispatchEnd::Failed, m_events.time());
+            if (m_events.now() - request.arrivedAt > callerTimeout - attemptTimeout || !mayRetryAgain(request))
                 return;
             ++request.retries;
             dispatch(std::move(request));
         }
 
-        bool retries(const Request& request)
+        bool mayRetryAgain(const Request& request)
         {
-            if (m_way == RetryWay::Never || request.retries == mostRetries)
+            if (m_mode == RetryMode::Never || request.retries == maxRetries)
                 return false;
-            return m_way == RetryWay::Always || m_budgets[request.node].takeRetry("model", m_events.time());
+            return m_mode == RetryMode::Always || m_budgets[request.node].takeRetry("model", m_events.time());
         }
 
-        static std::string nameOf(const Request& request) { return fmt::format("r{}", request.replica); }
+        static std::string replicaName(const Request& request) { return fmt::format("r{}", request.replica); }
 
         Bucket& bucketOf(const Request& request)
         {
@@ -217,9 +217,9 @@
         double recovery() const
         {
             double recovered = 0;
-            auto last = static_cast<size_t>((endsAt - patience) / bucketSeconds);
+            auto last = static_cast<size_t>((endTime - callerTimeout) / bucketSeconds);
             for (auto index = static_cast<size_t>(outageUntil / bucketSeconds); index < last; ++index) {
-                if (m_buckets[index].answered < wellShare * m_buckets[index].asked)
+                if (m_buckets[index].answered < recoveredShare * m_buckets[index].requested)
                     recovered = double(index + 1) * bucketSeconds - outageUntil;
             }
             return recovered;
@@ -227,7 +227,7 @@
 
         RetryOutcome& m_outcome;
         Outage m_outage;
-        RetryWay m_way;
+        RetryMode m_mode;
         EventQueue m_events;
         Random m_load;
         Random m_random;
@@ -247,14 +247,14 @@
         { "outage", "retries", "dispatches a request", "answered in time", "answer p95 s", "recovery s" }, {} };
     const std::vector<std::pair<std::string, Outage>> outages { { "30% refuse", Outage::Refusing },
         { "30% hang", Outage::Hanging }, { "load 1.5", Outage::Overload } };
-    const std::vector<std::pair<std::string, RetryWay>> ways { { "never", RetryWay::Never },
-        { "always, at most 3", RetryWay::Always }, { "ours, budget", RetryWay::Budget } };
+    const std::vector<std::pair<std::string, RetryMode>> modes { { "never", RetryMode::Never },
+        { "always, at most 3", RetryMode::Always }, { "ours, budget", RetryMode::Budget } };
     for (const auto& [outageName, outage] : outages) {
-        for (const auto& [wayName, way] : ways) {
+        for (const auto& [modeName, mode] : modes) {
             RetryOutcome outcome;
             for (uint32_t run = 0; run < seeds; ++run)
-                RetryRun(outage, way, seed + 1000 * run, outcome).run();
-            table.rows.push_back({ outageName, wayName, fmt::format("{:.3f}", outcome.dispatches / outcome.requests),
+                RetryRun(outage, mode, seed + 1000 * run, outcome).run();
+            table.rows.push_back({ outageName, modeName, fmt::format("{:.3f}", outcome.dispatches / outcome.requests),
                 fmt::format("{:.3f}", outcome.answered / outcome.requests),
                 fmt::format("{:.2f}", quantile(outcome.answerSeconds, 0.95)),
                 fmt::format("{:.1f}", outcome.recovery / seeds) });
--- a/src/policy/bench_routing.cpp
+++ b/src/policy/bench_routing.cpp
@@ -35,8 +35,8 @@
         std::string name;
         double load = 0.7; // Relative to the work of all replicas at the stream limit without any cache.
         uint32_t slow = 0; // Replicas at a fifth of the normal speed.
-        uint32_t lying = 0; // Replicas at half speed that report no load.
-        bool withParts = false; // Also measures ServiceRouter with single features disabled.
+        uint32_t underreporting = 0; // Replicas at half speed that report no load.
+        bool withFeaturesDisabled = false; // Also measures ServiceRouter with single features disabled.
     };
 
     struct RandomChoice { };
@@ -61,20 +61,20 @@
         Random& random;
 
         uint32_t operator()(RandomChoice&) const { return uint32_t(random() % replicaCount); }
-        uint32_t operator()(RoundRobin& way) const { return way.next++ % replicaCount; }
-        uint32_t operator()(LeastOutstanding& way) const
+        uint32_t operator()(RoundRobin& chooser) const { return chooser.next++ % replicaCount; }
+        uint32_t operator()(LeastOutstanding& chooser) const
         {
             auto first = uint32_t(random() % replicaCount);
             uint32_t best = first;
             for (uint32_t step = 1; step < replicaCount; ++step) {
                 uint32_t index = (first + step) % replicaCount;
-                if (way.inFlight[index] < way.inFlight[best])
+                if (chooser.inFlight[index] < chooser.inFlight[best])
                     best = index;
             }
-            ++way.inFlight[best];
+            ++chooser.inFlight[best];
             return best;
         }
-        uint32_t operator()(ServiceRouter& way) const { return replicaIndex(way.choose(shape, now, random)); }
+        uint32_t operator()(ServiceRouter& router) const { return replicaIndex(router.choose(shape, now, random)); }
     };
 
     struct RoutingOutcome {
@@ -116,7 +116,7 @@
         };
 
         bool isSlow(uint32_t index) const { return index < m_scenario.slow; }
-        bool isLying(uint32_t index) const { return index >= replicaCount - m_scenario.lying; }
+        bool underreports(uint32_t index) const { return index >= replicaCount - m_scenario.underreporting; }
         bool measured() const { return m_events.now() >= measuredFrom; }
 
         void addReplica(uint32_t index)
@@ -125,7 +125,7 @@
             settings.streamLimit = streamLimit;
             if (isSlow(index))
                 settings.speed = 0.2;
-            if (isLying(index))
+            if (underreports(index))
                 settings.speed = 0.5;
             ModelReplica::Callbacks callbacks;
             callbacks.firstToken = [this](uint64_t id, double hit) { firstToken(id, hit); };
@@ -143,8 +143,8 @@
                 std::vector<ReplicaSample> samples = m_samples;
                 for (uint32_t index = 0; index < replicaCount; ++index) {
                     samples[index].reportedAt = m_events.time();
-                    samples[index].reportedRunning = isLying(index) ? 0 : m_replicas[index]->running();
-                    samples[index].reportedQueued = isLying(index) ? 0 : m_replicas[index]->queued();
+                    samples[index].reportedRunning = underreports(index) ? 0 : m_replicas[index]->running();
+                    samples[index].reportedQueued = underreports(index) ? 0 : m_replicas[index]->queued();
                 }
                 double lag = uniform(m_random, 0.3, 1.2);
                 m_events.after(lag, [this, node, samples = std::move(samples)] {
@@ -227,8 +227,8 @@
             m_inFlight.erase(id);
             if (auto* router = std::get_if<ServiceRouter>(&m_nodes[flight.node]))
                 router->ended(replicaName(flight.replica), DispatchEnd::Finished, m_events.time());
-            if (auto* way = std::get_if<LeastOutstanding>(&m_nodes[flight.node]))
-                --way->inFlight[flight.replica];
+            if (auto* chooser = std::get_if<LeastOutstanding>(&m_nodes[flight.node]))
+                --chooser->inFlight[flight.replica];
             if (measured())
                 ++m_outcome.finished;
         }
@@ -258,20 +258,20 @@
         };
     }
 
-    struct Way {
+    struct RoutingVariant {
         std::string name;
         MakeChooser make;
-        bool part = false;
+        bool hasFeatureDisabled = false;
     };
 
-    std::vector<Way> ways()
+    std::vector<RoutingVariant> routingVariants()
     {
         RouterSettings noAffinity;
         noAffinity.usesPrefixes = false;
         RouterSettings noSpeed;
         noSpeed.learnsSpeed = false;
         RouterSettings reportsOnly;
-        reportsOnly.reportShare = 1;
+        reportsOnly.reportWeight = 1;
         RouterSettings asReported = reportsOnly;
         asReported.correctsReports = false;
         return {
@@ -300,17 +300,17 @@
         { "scenario", "way", "ttft p50 s", "ttft p95 s", "ttft p99 s", "finished/s", "cache hit share", "same zone" },
         {} };
     for (const Scenario& scenario : scenarios) {
-        for (const Way& way : ways()) {
-            if (way.part && !scenario.withParts)
+        for (const RoutingVariant& variant : routingVariants()) {
+            if (variant.hasFeatureDisabled && !scenario.withFeaturesDisabled)
                 continue;
-            RoutingOutcome outcome = RoutingRun(scenario, way.make, seed).run();
+            RoutingOutcome outcome = RoutingRun(scenario, variant.make, seed).run();
             double p50 = quantile(outcome.firstTokens, 0.5);
             double p95 = quantile(outcome.firstTokens, 0.95);
             double p99 = quantile(outcome.firstTokens, 0.99);
             double perSecond = outcome.finished / (measuredUntil - measuredFrom);
             double sameZone = outcome.sameZone / double(outcome.firstTokens.size());
             double hitShare = outcome.hits / double(outcome.firstTokens.size());
-            table.rows.push_back({ scenario.name, way.name, fmt::format("{:.3f}", p50), fmt::format("{:.3f}", p95),
+            table.rows.push_back({ scenario.name, variant.name, fmt::format("{:.3f}", p50), fmt::format("{:.3f}", p95),
                 fmt::format("{:.3f}", p99), fmt::format("{:.1f}", perSecond), fmt::format("{:.3f}", hitShare),
                 fmt::format("{:.2f}", sameZone) });
         }
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-    constexpr double runGain = 0.05;
+    constexpr double runSmoothing = 0.05;
     // If the capacity falls below this share of its last value, all waiting requests are checked again. Smaller changes
     // are treated as temporary.
-    constexpr double lossShare = 0.75;
-    constexpr Milliseconds emptyPatience { 5000 };
-    constexpr double startGain = 0.03;
-    constexpr double runAtStart = 1; // Seconds, used until a run has ended.
-    constexpr double shortestRetrySeconds = 0.2;
-    constexpr double longestRetrySeconds = 30;
+    constexpr double capacityDropShare = 0.75;
+    constexpr Milliseconds noCapacityGracePeriod { 5000 };
+    constexpr double startSmoothing = 0.03;
+    constexpr double initialMeanRun = 1; // Seconds, used until a run has ended.
+    constexpr double minRetrySeconds = 0.2;
+    constexpr double maxRetrySeconds = 30;
     constexpr double retryJitter = 0.25;
     // Share of its time to the deadline that the oldest request may use before the newest goes first.
-    constexpr double lateShare = 0.3;
+    constexpr double adaptiveLifoShare = 0.3;
 
     std::chrono::nanoseconds fromSeconds(double seconds)
     {
         return std::chrono::nanoseconds(static_cast<int64_t>(seconds * 1e9));
     }
 
-    double between(Random& random, double low, double high)
+    double uniformBetween(Random& random, double low, double high)
     {
         return low + (high - low) * (static_cast<double>(random() >> 11) * 0x1p-53);
     }
@@ -42,12 +42,12 @@
 // Estimates the streams that other nodes have started since their usage was sent: gossip is late by about two
 // updates, and the other nodes are assumed to grow in proportion to this one. Without the estimate, a team that
 // begins a burst would get the rest of its limit from every node at once.
-double FairQueue::Team::othersGrowth() const
+double FairQueue::Team::remoteGrowth() const
 {
-    uint32_t then = std::min(runningAtUpdate, runningBefore);
-    if (running <= then)
+    uint32_t previousRunning = std::min(runningAtUpdate, runningAtPreviousUpdate);
+    if (running <= previousRunning)
         return 0;
-    return double(running - then) * othersRunning / std::max(1U, then);
+    return double(running - previousRunning) * remoteRunning / std::max(1U, previousRunning);
 }
 
 // The part of the team's limit that other nodes do not use. If the demand of all nodes exceeds the limit, the part is
@@ -56,15 +56,15 @@
 {
     if (!limit)
         return std::numeric_limits<uint32_t>::max();
-    double left = std::max(0.0, double(limit) - othersRunning - othersGrowth());
-    double own = double(running) + double(waiting.size());
-    double others = double(othersRunning) + othersWaiting;
-    if (othersWaiting && own + others > limit)
-        left = std::min(left, std::ceil(limit * own / (own + others)));
+    double left = std::max(0.0, double(limit) - remoteRunning - remoteGrowth());
+    double localDemand = double(running) + double(waiting.size());
+    double remoteDemand = double(remoteRunning) + remoteWaiting;
+    if (remoteWaiting && localDemand + remoteDemand > limit)
+        left = std::min(left, std::ceil(limit * localDemand / (localDemand + remoteDemand)));
     return static_cast<uint32_t>(left);
 }
 
-FairQueue::Team& FairQueue::teamOf(std::string_view name)
+FairQueue::Team& FairQueue::findOrAddTeam(std::string_view name)
 {
     if (!m_settings.fairBetweenTeams)
         return m_teams["all"];
@@ -81,7 +81,7 @@
         team.limit = 0;
     }
     for (const TeamText& text : teams) {
-        Team& team = teamOf(text.name);
+        Team& team = findOrAddTeam(text.name);
         team.weight = std::max(1e-6, text.share);
         team.limit = text.streamLimit;
     }
@@ -89,41 +89,41 @@
 
 void FairQueue::setCapacity(uint32_t streams, MonotonicTime now, Random& random)
 {
-    bool muchLess = streams < lossShare * m_capacity;
+    bool capacityDropped = streams < capacityDropShare * m_capacity;
     m_capacity = streams;
-    noteEmpty(now);
+    trackNoCapacity(now);
     startWaiting(now);
-    if (muchLess || !m_capacity)
-        shedHopeless(now, random);
+    if (capacityDropped || !m_capacity)
+        refuseLateRequests(now, random);
 }
 
-void FairQueue::noteEmpty(MonotonicTime now)
+void FairQueue::trackNoCapacity(MonotonicTime now)
 {
     if (m_capacity)
-        m_emptySince.reset();
-    else if (!m_emptySince)
-        m_emptySince = now;
+        m_noCapacitySince.reset();
+    else if (!m_noCapacitySince)
+        m_noCapacitySince = now;
 }
 
-void FairQueue::setOthersUsage(std::span<const TeamUsage> usage, MonotonicTime now)
+void FairQueue::setRemoteUsage(std::span<const TeamUsage> usage, MonotonicTime now)
 {
     for (auto& [name, team] : m_teams) {
-        team.othersRunning = team.othersWaiting = 0;
-        team.runningBefore = std::exchange(team.runningAtUpdate, team.running);
+        team.remoteRunning = team.remoteWaiting = 0;
+        team.runningAtPreviousUpdate = std::exchange(team.runningAtUpdate, team.running);
     }
     for (const TeamUsage& used : usage) {
-        Team& team = teamOf(used.team);
-        team.othersRunning += used.running;
-        team.othersWaiting += used.waiting;
+        Team& team = findOrAddTeam(used.team);
+        team.remoteRunning += used.running;
+        team.remoteWaiting += used.waiting;
     }
     startWaiting(now);
 }
 
-FairQueue::Place FairQueue::insert(Team& team, const QueueRequest& request, MonotonicTime now)
+FairQueue::WaitingIterator FairQueue::insert(Team& team, const QueueRequest& request, MonotonicTime now)
 {
-    auto run = fromSeconds(m_settings.runShare * m_meanRun);
-    auto giveUpAt = m_settings.shedsEarly ? request.deadline - run : request.deadline;
-    Waiting waiting { request.ticket, request.priority, now, request.deadline, giveUpAt };
+    auto run = fromSeconds(m_settings.requiredRunShare * m_meanRun);
+    auto expiresAt = m_settings.shedsEarly ? request.deadline - run : request.deadline;
+    Waiting waiting { request.ticket, request.priority, now, request.deadline, expiresAt };
     auto goesAfter = [&](const Waiting& other) {
         if (other.priority != waiting.priority)
             return other.priority < waiting.priority;
@@ -131,7 +131,7 @@
     };
     // A team without waiting requests earns no credit for the time in which it was idle.
     if (team.waiting.empty()) {
-        team.tag = std::max(team.tag, m_virtualTime);
+        team.startTag = std::max(team.startTag, m_virtualTime);
         team.secondsPerStart = 1 / streamsPerSecond(team);
         team.lastStart = now;
     }
@@ -141,27 +141,27 @@
 
 std::optional<AdmissionOutcome> FairQueue::arrive(const QueueRequest& request, MonotonicTime now, Random& random)
 {
-    Team& team = teamOf(request.team);
+    Team& team = findOrAddTeam(request.team);
     if (request.deadline <= now)
         return AdmissionOutcome { AdmissionVerdict::WouldMissDeadline, retryAfter(team, now, random) };
-    noteEmpty(now);
+    trackNoCapacity(now);
     expire(now, random);
-    auto own = insert(team, request, now);
+    auto position = insert(team, request, now);
     // A request that can start at once is admitted whatever the mean run: it may be a short one.
     startWaiting(now);
-    if (auto outcome = takeDecision(request.ticket))
+    if (auto outcome = takeDecisionOn(request.ticket))
         return outcome;
-    if (isHopeless(team, own, now))
-        refuse(team, own, lateVerdict(team), now, random);
+    if (willMissDeadline(team, position, now))
+        refuse(team, position, lateVerdict(team), now, random);
     else if (m_waiting > m_queueLimit)
-        makeRoom(now, random);
-    return takeDecision(request.ticket);
+        refuseFromLongestQueue(now, random);
+    return takeDecisionOn(request.ticket);
 }
 
-std::optional<AdmissionOutcome> FairQueue::takeDecision(Ticket ticket)
+std::optional<AdmissionOutcome> FairQueue::takeDecisionOn(Ticket ticket)
 {
-    auto isOwn = [&](const QueueDecision& decision) { return decision.ticket == ticket; };
-    auto found = std::find_if(m_decisions.begin(), m_decisions.end(), isOwn);
+    auto matchesTicket = [&](const QueueDecision& decision) { return decision.ticket == ticket; };
+    auto found = std::find_if(m_decisions.begin(), m_decisions.end(), matchesTicket);
     if (found == m_decisions.end())
         return {};
     AdmissionOutcome outcome = found->outcome;
@@ -171,15 +171,15 @@
 
 // Refuses the last request of the team with the longest queue for its weight, so that a team that floods the service
 // displaces only its own requests.
-void FairQueue::makeRoom(MonotonicTime now, Random& random)
+void FairQueue::refuseFromLongestQueue(MonotonicTime now, Random& random)
 {
     Team* longest = nullptr;
-    double most = 0;
+    double longestLength = 0;
     for (auto& [name, team] : m_teams) {
         double length = double(team.waiting.size()) / team.weight;
-        if (length <= most)
+        if (length <= longestLength)
             continue;
-        most = length;
+        longestLength = length;
         longest = &team;
     }
     if (longest)
@@ -188,27 +188,27 @@
 
 void FairQueue::release(std::string_view name, std::chrono::nanoseconds ran, MonotonicTime now, Random& random)
 {
-    Team& team = teamOf(name);
+    Team& team = findOrAddTeam(name);
     if (!team.running)
         return;
     --team.running;
     --m_running;
     double seconds = std::max(0.0, toSeconds(ran));
     // The start was charged with the mean run; this corrects the charge to the actual run.
-    team.tag += (seconds - meanRun()) / team.weight;
-    m_meanRun = m_meanRun ? m_meanRun + runGain * (seconds - m_meanRun) : seconds;
+    team.startTag += (seconds - meanRun()) / team.weight;
+    m_meanRun = m_meanRun ? m_meanRun + runSmoothing * (seconds - m_meanRun) : seconds;
     expire(now, random);
     startWaiting(now);
 }
 
-double FairQueue::meanRun() const { return m_meanRun ? m_meanRun : runAtStart; }
+double FairQueue::meanRun() const { return m_meanRun ? m_meanRun : initialMeanRun; }
 
-FairQueue::Place FairQueue::firstOf(Team& team, MonotonicTime now)
+FairQueue::WaitingIterator FairQueue::nextRequest(Team& team, MonotonicTime now)
 {
     auto first = team.waiting.begin();
-    if (m_settings.order != QueueOrder::NewestWhenLate)
+    if (m_settings.order != QueueOrder::AdaptiveLifo)
         return first;
-    if (toSeconds(now - first->arrived) < lateShare * toSeconds(first->deadline - first->arrived))
+    if (toSeconds(now - first->arrived) < adaptiveLifoShare * toSeconds(first->deadline - first->arrived))
         return first;
     auto lower = [&](const Waiting& waiting) { return waiting.priority != first->priority; };
     return std::prev(std::find_if(first, team.waiting.end(), lower));
@@ -218,11 +218,11 @@
 {
     Team* next = nullptr;
     for (auto& [name, team] : m_teams) {
-        if (team.mayStart() && (!next || team.tag < next->tag))
+        if (team.mayStart() && (!next || team.startTag < next->startTag))
             next = &team;
         else if (!team.waiting.empty() && !team.mayStart())
             // A team at its limit earns no credit for the time that other teams use.
-            team.tag = std::max(team.tag, m_virtualTime);
+            team.startTag = std::max(team.startTag, m_virtualTime);
     }
     return next;
 }
@@ -233,55 +233,56 @@
         Team* team = nextTeam();
         if (!team)
             return;
-        start(*team, firstOf(*team, now), now);
+        start(*team, nextRequest(*team, now), now);
     }
 }
 
-void FairQueue::start(Team& team, Place place, MonotonicTime now)
+void FairQueue::start(Team& team, WaitingIterator position, MonotonicTime now)
 {
     double sinceLast = toSeconds(now - team.lastStart);
-    team.secondsPerStart += startGain * (sinceLast - team.secondsPerStart);
+    team.secondsPerStart += startSmoothing * (sinceLast - team.secondsPerStart);
     team.lastStart = now;
-    m_decisions.push_back({ place->ticket, {} });
-    team.waiting.erase(place);
+    m_decisions.push_back({ position->ticket, {} });
+    team.waiting.erase(position);
     --m_waiting;
     ++team.running;
     ++m_running;
-    m_virtualTime = std::max(m_virtualTime, team.tag);
-    team.tag += meanRun() / team.weight;
+    m_virtualTime = std::max(m_virtualTime, team.startTag);
+    team.startTag += meanRun() / team.weight;
 }
 
-void FairQueue::refuse(Team& team, Place place, AdmissionVerdict verdict, MonotonicTime now, Random& random)
+void FairQueue::refuse(
+    Team& team, WaitingIterator position, AdmissionVerdict verdict, MonotonicTime now, Random& random)
 {
-    m_decisions.push_back({ place->ticket, { verdict, retryAfter(team, now, random) } });
-    team.waiting.erase(place);
+    m_decisions.push_back({ position->ticket, { verdict, retryAfter(team, now, random) } });
+    team.waiting.erase(position);
     --m_waiting;
 }
 
 // Returns whether the request will start too late, given the requests of its team ahead of it. With newest-first
 // order the number of requests ahead is not bounded, so only the latest useful start time is checked.
-bool FairQueue::isHopeless(const Team& team, std::list<Waiting>::const_iterator place, MonotonicTime now) const
+bool FairQueue::willMissDeadline(const Team& team, std::list<Waiting>::const_iterator position, MonotonicTime now) const
 {
     if (!m_settings.shedsEarly)
         return false;
     // Without capacity the wait cannot be estimated. It may be short, but after a few seconds it counts as an outage.
     if (!m_capacity)
-        return m_emptySince && now - *m_emptySince >= emptyPatience;
+        return m_noCapacitySince && now - *m_noCapacitySince >= noCapacityGracePeriod;
     if (!m_meanRun)
         return false;
-    if (m_settings.order == QueueOrder::NewestWhenLate)
-        return now >= place->giveUpAt;
-    auto ahead = std::distance(team.waiting.begin(), place);
+    if (m_settings.order == QueueOrder::AdaptiveLifo)
+        return now >= position->expiresAt;
+    auto ahead = std::distance(team.waiting.begin(), position);
     auto wait = fromSeconds(std::min(secondsToStart(team, static_cast<size_t>(ahead), now), 1e6));
-    return now + wait > place->giveUpAt;
+    return now + wait > position->expiresAt;
 }
 
-void FairQueue::shedHopeless(MonotonicTime now, Random& random)
+void FairQueue::refuseLateRequests(MonotonicTime now, Random& random)
 {
     for (auto& [name, team] : m_teams) {
-        for (auto place = team.waiting.begin(); place != team.waiting.end();) {
-            auto current = place++;
-            if (isHopeless(team, current, now))
+        for (auto next = team.waiting.begin(); next != team.waiting.end();) {
+            auto current = next++;
+            if (willMissDeadline(team, current, now))
                 refuse(team, current, lateVerdict(team), now, random);
         }
     }
@@ -292,9 +293,9 @@
     if (!m_waiting)
         return;
     for (auto& [name, team] : m_teams) {
-        for (auto place = team.waiting.begin(); place != team.waiting.end();) {
-            auto current = place++;
-            if (current->giveUpAt <= now)
+        for (auto next = team.waiting.begin(); next != team.waiting.end();) {
+            auto current = next++;
+            if (current->expiresAt <= now)
                 refuse(team, current, lateVerdict(team), now, random);
         }
     }
@@ -356,27 +357,27 @@
 Milliseconds FairQueue::retryAfter(Team& team, MonotonicTime now, Random& random)
 {
     double perSecond = streamsPerSecond(team);
-    double drained = double(team.waiting.size()) / perSecond;
-    if (team.othersRunning)
-        drained = std::min(drained, (team.othersWaiting + 1) * meanRun() / team.othersRunning);
-    team.promised = std::max(team.promised, now + fromSeconds(drained)) + fromSeconds(1 / perSecond);
-    double seconds = toSeconds(team.promised - now);
-    if (seconds > longestRetrySeconds) {
-        team.promised = now + fromSeconds(longestRetrySeconds);
-        seconds = longestRetrySeconds * between(random, 0.5, 1);
+    double secondsToDrain = double(team.waiting.size()) / perSecond;
+    if (team.remoteRunning)
+        secondsToDrain = std::min(secondsToDrain, (team.remoteWaiting + 1) * meanRun() / team.remoteRunning);
+    team.latestRetryAt = std::max(team.latestRetryAt, now + fromSeconds(secondsToDrain)) + fromSeconds(1 / perSecond);
+    double seconds = toSeconds(team.latestRetryAt - now);
+    if (seconds > maxRetrySeconds) {
+        team.latestRetryAt = now + fromSeconds(maxRetrySeconds);
+        seconds = maxRetrySeconds * uniformBetween(random, 0.5, 1);
     }
-    seconds *= between(random, 1 - retryJitter, 1 + retryJitter);
-    return std::chrono::ceil<Milliseconds>(fromSeconds(std::max(seconds, shortestRetrySeconds)));
+    seconds *= uniformBetween(random, 1 - retryJitter, 1 + retryJitter);
+    return std::chrono::ceil<Milliseconds>(fromSeconds(std::max(seconds, minRetrySeconds)));
 }
 
 std::vector<QueueDecision> FairQueue::takeDecisions() { return std::exchange(m_decisions, {}); }
 
-std::optional<MonotonicTime> FairQueue::giveUpAt(Ticket ticket) const
+std::optional<MonotonicTime> FairQueue::expiresAt(Ticket ticket) const
 {
     for (const auto& [name, team] : m_teams) {
         for (const Waiting& waiting : team.waiting) {
             if (waiting.ticket == ticket)
-                return waiting.giveUpAt;
+                return waiting.expiresAt;
         }
     }
     return {};
@@ -387,7 +388,7 @@
     std::optional<MonotonicTime> next;
     for (const auto& [name, team] : m_teams) {
         for (const Waiting& waiting : team.waiting)
-            next = next ? std::min(*next, waiting.giveUpAt) : waiting.giveUpAt;
+            next = next ? std::min(*next, waiting.expiresAt) : waiting.expiresAt;
     }
     return next;
 }
--- a/src/policy/fairqueue.h
+++ b/src/policy/fairqueue.h
@@ -18,15 +18,15 @@
 enum class QueueOrder : uint8_t {
     Arrival,
     Deadline,
-    NewestWhenLate, // Newest first while the oldest has used much of its time, so that some requests still meet their
-                    // deadlines.
+    AdaptiveLifo, // Newest first while the oldest has used much of its time, so that some requests still meet their
+                  // deadlines.
 };
 
 struct FairQueueSettings {
     QueueOrder order = QueueOrder::Deadline;
     bool fairBetweenTeams = true; // If false, all requests count as one team; for benchmarks.
     bool shedsEarly = true; // If false, a request waits until its deadline.
-    double runShare = 0.25; // A request must start at least this share of the mean run before its deadline.
+    double requiredRunShare = 0.25; // A request must start at least this share of the mean run before its deadline.
 };
 
 // Identifies a request; chosen by the caller, unique while the request waits or runs.
@@ -54,7 +54,7 @@
     void configure(uint32_t queueLimit, std::span<const TeamText>);
     void setCapacity(uint32_t streams, MonotonicTime now, Random&);
     // Usage of this service summed over the other nodes; teams not listed count as unused there.
-    void setOthersUsage(std::span<const TeamUsage>, MonotonicTime now);
+    void setRemoteUsage(std::span<const TeamUsage>, MonotonicTime now);
 
     // Returns the outcome if it is decided at once, or nothing if the request waits.
     std::optional<AdmissionOutcome> arrive(const QueueRequest&, MonotonicTime now, Random&);
@@ -68,7 +68,7 @@
     // Returns the decisions on waiting requests since the last call, in order.
     std::vector<QueueDecision> takeDecisions();
     // The time from which expire() refuses the request; empty if it is not waiting.
-    std::optional<MonotonicTime> giveUpAt(Ticket) const;
+    std::optional<MonotonicTime> expiresAt(Ticket) const;
     // The earliest such time over all waiting requests.
     std::optional<MonotonicTime> nextExpiry() const;
 
@@ -85,46 +85,46 @@
         Priority priority = Priority::Normal;
         MonotonicTime arrived;
         MonotonicTime deadline;
-        MonotonicTime giveUpAt; // The latest useful start time.
+        MonotonicTime expiresAt; // The latest useful start time.
     };
 
     struct Team {
         double weight = 1;
         uint32_t limit = 0;
         uint32_t running = 0;
-        uint32_t othersRunning = 0;
-        uint32_t othersWaiting = 0;
+        uint32_t remoteRunning = 0;
+        uint32_t remoteWaiting = 0;
         uint32_t runningAtUpdate
             = 0; // `running` at the latest update of the other nodes' usage, and at the one before it.
-        uint32_t runningBefore = 0;
-        double tag = 0; // Virtual start time of its next request.
+        uint32_t runningAtPreviousUpdate = 0;
+        double startTag = 0; // Virtual start time of its next request.
         std::list<Waiting> waiting; // Sorted by priority, then by FairQueueSettings::order.
         // Mean seconds between starts, measured while requests wait, so that it includes the effect of limits.
         double secondsPerStart = 0;
         MonotonicTime lastStart {}; // Or when the queue last became non-empty.
-        MonotonicTime promised {}; // The latest retry time given to a refused request.
+        MonotonicTime latestRetryAt {}; // The latest retry time given to a refused request.
 
         uint32_t allowance() const;
-        double othersGrowth() const;
+        double remoteGrowth() const;
         bool mayStart() const { return !waiting.empty() && running < allowance(); }
     };
 
     using Teams = std::map<std::string, Team, std::less<>>;
 
-    using Place = std::list<Waiting>::iterator;
+    using WaitingIterator = std::list<Waiting>::iterator;
 
-    Team& teamOf(std::string_view name);
-    void noteEmpty(MonotonicTime now);
-    Place insert(Team&, const QueueRequest&, MonotonicTime now);
-    std::optional<AdmissionOutcome> takeDecision(Ticket);
-    Place firstOf(Team&, MonotonicTime now);
+    Team& findOrAddTeam(std::string_view name);
+    void trackNoCapacity(MonotonicTime now);
+    WaitingIterator insert(Team&, const QueueRequest&, MonotonicTime now);
+    std::optional<AdmissionOutcome> takeDecisionOn(Ticket);
+    WaitingIterator nextRequest(Team&, MonotonicTime now);
     Team* nextTeam();
     void startWaiting(MonotonicTime now);
-    void start(Team&, Place, MonotonicTime now);
-    void refuse(Team&, Place, AdmissionVerdict, MonotonicTime now, Random&);
-    void makeRoom(MonotonicTime now, Random&);
-    bool isHopeless(const Team&, std::list<Waiting>::const_iterator, MonotonicTime now) const;
-    void shedHopeless(MonotonicTime now, Random&);
+    void start(Team&, WaitingIterator, MonotonicTime now);
+    void refuse(Team&, WaitingIterator, AdmissionVerdict, MonotonicTime now, Random&);
+    void refuseFromLongestQueue(MonotonicTime now, Random&);
+    bool willMissDeadline(const Team&, std::list<Waiting>::const_iterator, MonotonicTime now) const;
+    void refuseLateRequests(MonotonicTime now, Random&);
     AdmissionVerdict lateVerdict(const Team&) const;
     double meanRun() const;
     double streamsPerSecond(const Team&) const;
@@ -135,7 +135,7 @@
     Teams m_teams;
     std::vector<QueueDecision> m_decisions;
     uint32_t m_capacity = 0;
-    std::optional<MonotonicTime> m_emptySince; // Time since which the capacity has been 0.
+    std::optional<MonotonicTime> m_noCapacitySince; // Time since which the capacity has been 0.
     uint32_t m_queueLimit = 256;
     uint32_t m_running = 0;
     uint32_t m_waiting = 0;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -9,24 +9,24 @@
 namespace {
 
     // Costs used by the score, tuned with `kumquatpick bench`; docs/PLACEMENT.md lists the values tried.
-    constexpr double domainLossPrice = 1.0; // Losing the whole service with the domain.
-    constexpr double zoneImbalancePrice = 0.5;
-    constexpr double coldLoadPrice = 0.6; // Loading every host from the weight store.
-    constexpr double lastSparePrice = 0.2; // Leaving the domain without a spare host.
-    constexpr double strandedHostPrice = 1.0; // Each host that no replica can use any more.
-    constexpr double brokenBlockPrice = 0.02; // Each remaining free host, usable or not.
-
-    uint32_t replicasOf(const PlacementDomain& domain, uint32_t service)
+    constexpr double domainLossCost = 1.0; // Losing the whole service with the domain.
+    constexpr double zoneImbalanceCost = 0.5;
+    constexpr double coldLoadCost = 0.6; // Loading every host from the weight store.
+    constexpr double lastSpareCost = 0.2; // Leaving the domain without a spare host.
+    constexpr double strandedHostCost = 1.0; // Each host that no replica can use any more.
+    constexpr double leftoverHostCost = 0.02; // Each remaining free host, usable or not.
+
+    uint32_t replicaCount(const PlacementDomain& domain, uint32_t service)
     {
-        auto isOurs = [&](const PlacedReplica& replica) { return replica.service == service; };
-        return static_cast<uint32_t>(std::count_if(domain.replicas.begin(), domain.replicas.end(), isOurs));
+        auto isOfService = [&](const PlacedReplica& replica) { return replica.service == service; };
+        return static_cast<uint32_t>(std::count_if(domain.replicas.begin(), domain.replicas.end(), isOfService));
     }
 
     std::vector<uint32_t> replicasByZone(const PlacementView& view, uint32_t service)
     {
         std::vector<uint32_t> counts(view.zones, 0);
         for (const auto& domain : view.domains)
-            counts[domain.zone] += replicasOf(domain, service);
+            counts[domain.zone] += replicaCount(domain, service);
         return counts;
     }
 
@@ -52,27 +52,27 @@
         return hosts;
     }
 
-    double downtimePrice(
+    double downtimeCost(
         const PlacementView& view, const PlacementDomain& domain, uint32_t service, std::span<const uint32_t> byZone)
     {
         const auto& wanted = view.services[service];
         double replicas = std::max(1U, wanted.wanted);
-        double lostWithDomain = (replicasOf(domain, service) + 1) / replicas;
+        double lostWithDomain = (replicaCount(domain, service) + 1) / replicas;
         double lostWithZone = (byZone[domain.zone] + 1) / replicas;
         uint32_t warm = std::min(warmHosts(domain, service), wanted.hostsPerReplica);
         double cold = 1.0 - static_cast<double>(warm) / wanted.hostsPerReplica;
         bool takesLastSpare = domain.freeHosts.size() == wanted.hostsPerReplica;
-        return domainLossPrice * lostWithDomain + zoneImbalancePrice * lostWithZone + coldLoadPrice * cold
-            + (takesLastSpare ? lastSparePrice : 0);
+        return domainLossCost * lostWithDomain + zoneImbalanceCost * lostWithZone + coldLoadCost * cold
+            + (takesLastSpare ? lastSpareCost : 0);
     }
 
-    double strandedPrice(const PlacementView& view, const PlacementDomain& domain, uint32_t service)
+    double strandedCost(const PlacementView& view, const PlacementDomain& domain, uint32_t service)
     {
         auto before = static_cast<uint32_t>(domain.freeHosts.size());
         uint32_t after = before - view.services[service].hostsPerReplica;
         double newlyUnusable = static_cast<double>(unusableHosts(view.services, after))
             - static_cast<double>(unusableHosts(view.services, before));
-        return strandedHostPrice * newlyUnusable + brokenBlockPrice * after;
+        return strandedHostCost * newlyUnusable + leftoverHostCost * after;
     }
 
     // The two cheapest domains. The second is needed because a move must go to another domain.
@@ -88,19 +88,19 @@
         const auto& wanted = view.services[service];
         auto byZone = replicasByZone(view, service);
         CheapestDomains found;
-        double bestPrice = std::numeric_limits<double>::infinity();
-        double secondPrice = bestPrice;
+        double bestCost = std::numeric_limits<double>::infinity();
+        double secondCost = bestCost;
         for (uint32_t index = 0; index < view.domains.size(); ++index) {
             const auto& domain = view.domains[index];
             if (domain.freeHosts.size() < wanted.hostsPerReplica)
                 continue;
-            double price = wanted.groupDowntimeWeight * downtimePrice(view, domain, service, byZone)
-                + wanted.strandedWeight * strandedPrice(view, domain, service);
-            if (price < bestPrice) {
-                secondPrice = std::exchange(bestPrice, price);
+            double cost = wanted.groupDowntimeWeight * downtimeCost(view, domain, service, byZone)
+                + wanted.strandedWeight * strandedCost(view, domain, service);
+            if (cost < bestCost) {
+                secondCost = std::exchange(bestCost, cost);
                 found.second = std::exchange(found.best, index);
-            } else if (price < secondPrice) {
-                secondPrice = price;
+            } else if (cost < secondCost) {
+                secondCost = cost;
                 found.second = index;
             }
         }
--- a/src/policy/prefixmap.cpp
+++ b/src/policy/prefixmap.cpp
@@ -8,9 +8,9 @@
 namespace {
 
     // Entries stay valid over one gap, as most prefixes are still cached after it, but not over two.
-    constexpr uint32_t gapsSurvived = 1;
+    constexpr uint32_t toleratedGaps = 1;
 
-    double shareOf(size_t matched, size_t all)
+    double prefixShare(size_t matched, size_t all)
     {
         return std::exp2(static_cast<double>(matched) - static_cast<double>(all));
     }
@@ -19,35 +19,35 @@
 
 uint32_t PrefixMap::indexOf(std::string_view replica)
 {
-    auto [entry, fresh] = m_indexes.try_emplace(std::string(replica), static_cast<uint32_t>(m_names.size()));
-    if (fresh) {
+    auto [entry, inserted] = m_indexes.try_emplace(std::string(replica), static_cast<uint32_t>(m_names.size()));
+    if (inserted) {
         m_names.emplace_back(replica);
-        m_doubts.push_back(0);
+        m_gapCounts.push_back(0);
     }
     return entry->second;
 }
 
-bool PrefixMap::believed(const Holder& holder) const
+bool PrefixMap::isValid(const Holder& holder) const
 {
-    return m_doubts[holder.replica] - holder.doubts <= gapsSurvived;
+    return m_gapCounts[holder.replica] - holder.gapCount <= toleratedGaps;
 }
 
 void PrefixMap::stored(uint64_t prefix, std::string_view replica)
 {
     uint32_t index = indexOf(replica);
-    auto [found, fresh] = m_entries.try_emplace(prefix);
+    auto [found, inserted] = m_entries.try_emplace(prefix);
     Entry& entry = found->second;
-    if (fresh)
-        entry.place = m_byUse.insert(m_byUse.end(), prefix);
+    if (inserted)
+        entry.lruPosition = m_lruOrder.insert(m_lruOrder.end(), prefix);
     else
-        m_byUse.splice(m_byUse.end(), m_byUse, entry.place);
-    std::erase_if(entry.holders, [&](const Holder& holder) { return holder.replica == index || !believed(holder); });
-    if (entry.holders.size() == mostHolders)
+        m_lruOrder.splice(m_lruOrder.end(), m_lruOrder, entry.lruPosition);
+    std::erase_if(entry.holders, [&](const Holder& holder) { return holder.replica == index || !isValid(holder); });
+    if (entry.holders.size() == maxHolders)
         entry.holders.erase(entry.holders.begin());
-    entry.holders.push_back({ index, m_doubts[index] });
-    if (m_entries.size() > mostPrefixes) {
-        m_entries.erase(m_byUse.front());
-        m_byUse.pop_front();
+    entry.holders.push_back({ index, m_gapCounts[index] });
+    if (m_entries.size() > maxPrefixes) {
+        m_entries.erase(m_lruOrder.front());
+        m_lruOrder.pop_front();
     }
 }
 
@@ -60,13 +60,13 @@
     std::erase_if(found->second.holders, [&](const Holder& holder) { return holder.replica == known->second; });
     if (!found->second.holders.empty())
         return;
-    m_byUse.erase(found->second.place);
+    m_lruOrder.erase(found->second.lruPosition);
     m_entries.erase(found);
 }
 
-void PrefixMap::doubt(std::string_view replica) { ++m_doubts[indexOf(replica)]; }
+void PrefixMap::eventsLost(std::string_view replica) { ++m_gapCounts[indexOf(replica)]; }
 
-PrefixMap::Match PrefixMap::longest(std::span<const uint64_t> prefixes)
+PrefixMap::Match PrefixMap::longestMatch(std::span<const uint64_t> prefixes)
 {
     Match match;
     for (size_t matched = prefixes.size(); matched > 0; --matched) {
@@ -74,19 +74,19 @@
         if (found == m_entries.end())
             continue;
         for (const Holder& holder : found->second.holders) {
-            if (believed(holder))
+            if (isValid(holder))
                 match.holders.push_back(m_names[holder.replica]);
         }
         if (match.holders.empty())
             continue;
-        match.hitShare = shareOf(matched, prefixes.size());
-        m_byUse.splice(m_byUse.end(), m_byUse, found->second.place);
+        match.hitRatio = prefixShare(matched, prefixes.size());
+        m_lruOrder.splice(m_lruOrder.end(), m_lruOrder, found->second.lruPosition);
         break;
     }
     return match;
 }
 
-double PrefixMap::hitShare(std::span<const uint64_t> prefixes, std::string_view replica) const
+double PrefixMap::hitRatio(std::span<const uint64_t> prefixes, std::string_view replica) const
 {
     auto known = m_indexes.find(std::string(replica));
     if (known == m_indexes.end())
@@ -96,9 +96,9 @@
         if (found == m_entries.end())
             continue;
         bool holds = std::any_of(found->second.holders.begin(), found->second.holders.end(),
-            [&](const Holder& holder) { return holder.replica == known->second && believed(holder); });
+            [&](const Holder& holder) { return holder.replica == known->second && isValid(holder); });
         if (holds)
-            return shareOf(matched, prefixes.size());
+            return prefixShare(matched, prefixes.size());
     }
     return 0;
 }
--- a/src/policy/prefixmap.h
+++ b/src/policy/prefixmap.h
@@ -15,43 +15,43 @@
 class PrefixMap {
 public:
     struct Match {
-        double hitShare = 0; // Cached share of the prompt, 0..1.
+        double hitRatio = 0; // Cached share of the prompt, 0..1.
         std::vector<std::string> holders; // Replicas with the longest known prefix, the latest reported last.
     };
 
     void stored(uint64_t prefix, std::string_view replica);
     void dropped(uint64_t prefix, std::string_view replica);
     // Records that events of the replica were lost: its earlier entries may have been evicted since.
-    void doubt(std::string_view replica);
+    void eventsLost(std::string_view replica);
 
     // Takes the prefixes shortest first, each twice as long as the one before.
-    Match longest(std::span<const uint64_t> prefixes);
+    Match longestMatch(std::span<const uint64_t> prefixes);
     // The share of the prompt that the replica probably has cached.
-    double hitShare(std::span<const uint64_t> prefixes, std::string_view replica) const;
+    double hitRatio(std::span<const uint64_t> prefixes, std::string_view replica) const;
 
     size_t size() const { return m_entries.size(); }
-    static constexpr size_t mostPrefixes = 16384;
-    static constexpr size_t mostHolders = 8;
+    static constexpr size_t maxPrefixes = 16384;
+    static constexpr size_t maxHolders = 8;
 
 private:
     struct Holder {
         uint32_t replica = 0;
-        uint32_t doubts = 0; // The replica's number of gaps when this entry was recorded.
+        uint32_t gapCount = 0; // The replica's number of gaps when this entry was recorded.
     };
 
     struct Entry {
         std::vector<Holder> holders;
-        std::list<uint64_t>::iterator place;
+        std::list<uint64_t>::iterator lruPosition;
     };
 
     uint32_t indexOf(std::string_view replica);
-    bool believed(const Holder&) const;
+    bool isValid(const Holder&) const;
 
     std::unordered_map<uint64_t, Entry> m_entries;
-    std::list<uint64_t> m_byUse; // Least recently used first.
+    std::list<uint64_t> m_lruOrder; // Least recently used first.
     std::unordered_map<std::string, uint32_t> m_indexes;
     std::vector<std::string> m_names;
-    std::vector<uint32_t> m_doubts;
+    std::vector<uint32_t> m_gapCounts;
 };
 
 } // namespace Kumquatpick
--- a/src/policy/retrybudget.h
+++ b/src/policy/retrybudget.h
@@ -20,14 +20,14 @@
 // Thread-safe.
 class RetryBudget {
 public:
-    void firstTry(std::string_view service, MonotonicTime now);
+    void recordFirstAttempt(std::string_view service, MonotonicTime now);
     // Takes one retry from the budget. Returns false if the budget is empty.
     bool takeRetry(std::string_view service, MonotonicTime now);
 
 private:
     struct Tokens {
         double available = 0;
-        double strain = 0; // Moving average: the share of recent retries that found the budget empty.
+        double exhaustion = 0; // Moving average: the share of recent retries that found the budget empty.
         MonotonicTime updated {};
     };
 
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -95,13 +95,14 @@
     view->router.ended(replica, end, now);
 }
 
-void Router::backoffAsked(std::string_view service, std::string_view replica, Milliseconds backoff, MonotonicTime now)
+void Router::backoffRequested(
+    std::string_view service, std::string_view replica, Milliseconds backoff, MonotonicTime now)
 {
     ServiceView* view = m_impl->find(service);
     if (!view)
         return;
     std::lock_guard lock(view->mutex);
-    view->router.backoffAsked(replica, backoff, now);
+    view->router.backoffRequested(replica, backoff, now);
 }
 
 uint32_t Router::freeStreams(std::string_view service) const
--- a/src/policy/router.h
+++ b/src/policy/router.h
@@ -57,7 +57,7 @@
     void ended(std::string_view service, std::string_view replica, DispatchEnd, MonotonicTime now);
 
     // Records that the replica refused a request and asked for no further requests for this time.
-    void backoffAsked(std::string_view service, std::string_view replica, Milliseconds backoff, MonotonicTime now);
+    void backoffRequested(std::string_view service, std::string_view replica, Milliseconds backoff, MonotonicTime now);
 
     // The number of requests that the service could start at once; used by admission control.
     uint32_t freeStreams(std::string_view service) const;
--- a/src/policy/servicerouter.cpp
+++ b/src/policy/servicerouter.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-    constexpr double fadeSeconds = 60; // Decay of the averages over the whole service.
-    constexpr double unitGain = 0.02;
-    constexpr double mostSlowness = 32;
-    constexpr double leastWeight = 0.01;
-    constexpr double leastSeconds = 1e-4;
+    constexpr double averageDecaySeconds = 60; // Decay of the averages over the whole service.
+    constexpr double baseTimeSmoothing = 0.02;
+    constexpr double maxSlowness = 32;
+    constexpr double minWeight = 0.01;
+    constexpr double minSeconds = 1e-4;
     // A success after failures restores the weight step by step, not at once.
     constexpr double successFactor = 2;
-    constexpr double secondsPerStreamAtStart = 2;
+    constexpr double initialSecondsPerStream = 2;
     // A replica that asks for a longer backoff is tried again after this time.
-    constexpr std::chrono::minutes longestBackoff { 2 };
-    constexpr size_t mostRemembered
+    constexpr std::chrono::minutes maxBackoff { 2 };
+    constexpr size_t maxRememberedEvents
         = 1024; // Limit of the dispatches and ends kept for a replica that stopped reporting.
 
 } // namespace
@@ -36,23 +36,23 @@
     for (ReplicaSample& sample : samples) {
         auto entry = m_replicas.try_emplace(sample.replica).first;
         Replica& replica = entry->second;
-        bool twice = replica.serving;
+        bool alreadyListed = replica.serving;
         replica.serving = true;
         replica.sample = std::move(sample);
         auto reported = [&](MonotonicTime time) { return time <= replica.sample.reportedAt; };
         std::erase_if(replica.dispatches, reported);
         std::erase_if(replica.ends, reported);
-        if (!twice)
+        if (!alreadyListed)
             m_serving.push_back(&*entry);
     }
     std::erase_if(m_replicas, [](const auto& entry) { return !entry.second.serving && !entry.second.inFlight; });
-    learnOwnShare();
+    updateTotalPerLocalLoad();
 }
 
 void ServiceRouter::cacheEvent(const CacheEvent& event)
 {
     if (event.gap)
-        m_prefixes.doubt(event.replica);
+        m_prefixes.eventsLost(event.replica);
     if (event.stored)
         m_prefixes.stored(event.prefix, event.replica);
     else
@@ -73,28 +73,28 @@
 // does not depend on what replicas report.
 double ServiceRouter::load(const Replica& replica) const
 {
-    if (!m_loadPerOwn)
+    if (!m_totalPerLocalLoad)
         return correctedReport(replica);
-    double own = double(replica.inFlight) * m_loadPerOwn;
-    return m_settings.reportShare * correctedReport(replica) + (1 - m_settings.reportShare) * own;
+    double scaledLocal = double(replica.inFlight) * m_totalPerLocalLoad;
+    return m_settings.reportWeight * correctedReport(replica) + (1 - m_settings.reportWeight) * scaledLocal;
 }
 
-void ServiceRouter::learnOwnShare()
+void ServiceRouter::updateTotalPerLocalLoad()
 {
-    double all = 0;
-    double own = 0;
+    double total = 0;
+    double local = 0;
     for (const auto* entry : m_serving) {
-        all += correctedReport(entry->second);
-        own += entry->second.inFlight;
+        total += correctedReport(entry->second);
+        local += entry->second.inFlight;
     }
     // A node without requests in flight cannot compute the ratio and uses the reports alone until it can.
-    if (own > 0)
-        m_loadPerOwn = std::max(1.0, all / own);
+    if (local > 0)
+        m_totalPerLocalLoad = std::max(1.0, total / local);
 }
 
 double ServiceRouter::secondsPerStream() const
 {
-    return m_ends < 1 ? secondsPerStreamAtStart : m_inFlightSeconds / m_ends;
+    return m_ends < 1 ? initialSecondsPerStream : m_inFlightSeconds / m_ends;
 }
 
 // Prompt processing competes with the running streams of the engine; beyond the stream limit, requests also wait for a
@@ -104,17 +104,17 @@
     double limit = std::max(1U, replica.sample.streamLimit);
     double busy = load(replica);
     double promptWork = m_settings.fixedShare + (1 - m_settings.fixedShare) * missShare;
-    double seconds = m_unitSeconds * promptWork * (1 + m_settings.loadSlope * std::min(busy, limit) / limit);
+    double seconds = m_baseSeconds * promptWork * (1 + m_settings.loadSlope * std::min(busy, limit) / limit);
     if (busy >= limit)
         seconds += (busy - limit + 1) * secondsPerStream() / limit;
-    return std::max(leastSeconds, seconds);
+    return std::max(minSeconds, seconds);
 }
 
 // The learned slowness decays, so that a replica which gets no requests because it was slow is tried again.
 double ServiceRouter::learnedLogSlowness(const Replica& replica, MonotonicTime now) const
 {
     double age = std::max(0.0, toSeconds(now - replica.learnedAt));
-    return replica.logSlowness * std::exp(-age / m_settings.speedMemorySeconds);
+    return replica.logSlowness * std::exp(-age / m_settings.speedDecaySeconds);
 }
 
 // Requests whose first token is overdue count before it arrives: otherwise a stalled server would be detected only when
@@ -128,7 +128,7 @@
         return learned;
     const Pending& oldest = replica.pending.front();
     double overdue = toSeconds(now - oldest.dispatched) / oldest.expectedUncached;
-    return std::clamp(std::max(learned, overdue), 1 / mostSlowness, mostSlowness);
+    return std::clamp(std::max(learned, overdue), 1 / maxSlowness, maxSlowness);
 }
 
 // The weight recovers with time, so that the replica is tried again; the result of the trial then sets the weight.
@@ -159,7 +159,7 @@
         if (!isAvoided && entry->second.backedOffUntil <= now)
             allowed.push_back(entry);
     }
-    size_t wanted = std::min<size_t>(m_settings.sampled, allowed.size());
+    size_t wanted = std::min<size_t>(m_settings.sampledReplicas, allowed.size());
     for (size_t i = 0; i < wanted; ++i) {
         size_t other = i + random() % (allowed.size() - i);
         std::swap(allowed[i], allowed[other]);
@@ -167,7 +167,7 @@
     std::vector<Replicas::value_type*> chosen(allowed.begin(), allowed.begin() + static_cast<ptrdiff_t>(wanted));
     if (!m_settings.usesPrefixes || shape.prefixes.empty())
         return chosen;
-    auto match = m_prefixes.longest(shape.prefixes);
+    auto match = m_prefixes.longestMatch(shape.prefixes);
     for (size_t tried = 0; tried < m_settings.holdersCompared && !match.holders.empty(); ++tried) {
         size_t pick = random() % match.holders.size();
         auto isPick = [&](const auto* entry) { return entry->first == match.holders[pick]; };
@@ -187,7 +187,7 @@
     for (auto* entry : candidates(shape, now, random)) {
         double miss = 1;
         if (m_settings.usesPrefixes && !shape.prefixes.empty())
-            miss -= m_prefixes.hitShare(shape.prefixes, entry->first);
+            miss -= m_prefixes.hitRatio(shape.prefixes, entry->first);
         double candidateScore = score(entry->second, shape, miss, now);
         candidateScore *= 1 + m_settings.jitter * (static_cast<double>(random() >> 11) * 0x1p-53);
         if (best && candidateScore >= bestScore)
@@ -198,7 +198,7 @@
     }
     if (!best)
         return {};
-    accountTime(now);
+    accumulateInFlightTime(now);
     Replica& replica = best->second;
     replica.pending.push_back({ now, expectedBeforeSpeed(replica, bestMiss), expectedBeforeSpeed(replica, 1) });
     replica.dispatches.push_back(now);
@@ -208,24 +208,24 @@
 }
 
 // A backoff ends only with time: a shorter one does not replace an earlier request for a later end.
-void ServiceRouter::backoffAsked(std::string_view replica, Milliseconds backoff, MonotonicTime now)
+void ServiceRouter::backoffRequested(std::string_view replica, Milliseconds backoff, MonotonicTime now)
 {
     auto found = m_replicas.find(replica);
     if (found == m_replicas.end())
         return;
-    MonotonicTime end = now + std::min<Milliseconds>(backoff, longestBackoff);
+    MonotonicTime end = now + std::min<Milliseconds>(backoff, maxBackoff);
     found->second.backedOffUntil = std::max(found->second.backedOffUntil, end);
 }
 
-void ServiceRouter::accountTime(MonotonicTime now)
+void ServiceRouter::accumulateInFlightTime(MonotonicTime now)
 {
-    if (now > m_accounted && m_accounted != MonotonicTime {}) {
-        double passed = toSeconds(now - m_accounted);
-        double kept = std::exp(-passed / fadeSeconds);
+    if (now > m_accumulatedUntil && m_accumulatedUntil != MonotonicTime {}) {
+        double passed = toSeconds(now - m_accumulatedUntil);
+        double kept = std::exp(-passed / averageDecaySeconds);
         m_inFlightSeconds = m_inFlightSeconds * kept + double(m_totalInFlight) * passed;
         m_ends *= kept;
     }
-    m_accounted = std::max(m_accounted, now);
+    m_accumulatedUntil = std::max(m_accumulatedUntil, now);
 }
 
 // A time between those expected for a cached and an uncached prompt gives no information about the speed, because the
@@ -237,18 +237,18 @@
         ratio = observed / pending.expectedUncached;
     else if (observed < pending.expected)
         ratio = observed / pending.expected;
-    return std::clamp(ratio, 1 / mostSlowness, mostSlowness);
+    return std::clamp(ratio, 1 / maxSlowness, maxSlowness);
 }
 
 void ServiceRouter::learnSpeed(Replica& replica, const Pending& pending, double observed, MonotonicTime now)
 {
     double ratio = observedRatio(pending, observed);
     double before = learnedLogSlowness(replica, now);
-    replica.logSlowness = before + m_settings.speedGain * (std::log(ratio) - before);
+    replica.logSlowness = before + m_settings.speedSmoothing * (std::log(ratio) - before);
     replica.learnedAt = now;
     // The base time changes in small bounded steps, so that it follows the typical replica and not one slow replica.
-    m_unitSeconds *= std::exp(unitGain * std::clamp(std::log(ratio), -1.0, 1.0));
-    m_unitSeconds = std::max(leastSeconds, m_unitSeconds);
+    m_baseSeconds *= std::exp(baseTimeSmoothing * std::clamp(std::log(ratio), -1.0, 1.0));
+    m_baseSeconds = std::max(minSeconds, m_baseSeconds);
 }
 
 void ServiceRouter::firstToken(std::string_view name, std::chrono::nanoseconds sinceDispatch, MonotonicTime now)
@@ -270,13 +270,13 @@
     auto found = m_replicas.find(name);
     if (found == m_replicas.end() || !found->second.inFlight)
         return;
-    accountTime(now);
+    accumulateInFlightTime(now);
     Replica& replica = found->second;
     --replica.inFlight;
     --m_totalInFlight;
     replica.ends.push_back(now);
     // Only the difference of the two sizes is used, so removing one of each does not change it.
-    if (replica.ends.size() > mostRemembered && !replica.dispatches.empty()) {
+    if (replica.ends.size() > maxRememberedEvents && !replica.dispatches.empty()) {
         replica.ends.pop_front();
         replica.dispatches.pop_front();
     }
@@ -286,7 +286,7 @@
         m_ends += 1;
     if (end == DispatchEnd::Finished || end == DispatchEnd::Failed) {
         double factor = end == DispatchEnd::Failed ? m_settings.failureFactor : successFactor;
-        replica.weight = std::clamp(weight(replica, now) * factor, leastWeight, 1.0);
+        replica.weight = std::clamp(weight(replica, now) * factor, minWeight, 1.0);
         replica.weightAt = now;
     }
     if (!replica.serving && !replica.inFlight)
--- a/src/policy/suspicionstate.cpp
+++ b/src/policy/suspicionstate.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-    constexpr Milliseconds comeBackWhileOneRuns { 2000 };
-    constexpr Milliseconds sameDeathWithin { 5000 };
-    constexpr size_t mostDeathCounts = 4096;
+    constexpr Milliseconds retryAfterWhileRunning { 2000 };
+    constexpr Milliseconds duplicateDeathWindow { 5000 };
+    constexpr size_t maxDeathCounts = 4096;
 
 } // namespace
 
@@ -21,44 +21,44 @@
 {
 }
 
-uint32_t SuspicionState::Suspect::total() const
+uint32_t SuspicionState::Suspect::totalDeaths() const
 {
-    std::set<uint64_t> named;
-    uint32_t unnamed = 0;
+    std::set<uint64_t> identified;
+    uint32_t unidentified = 0;
     for (const auto& [observer, seen] : byObserver) {
-        named.insert(seen.deathIds.begin(), seen.deathIds.end());
-        unnamed += seen.deaths - std::min(seen.deaths, static_cast<uint32_t>(seen.deathIds.size()));
+        identified.insert(seen.deathIds.begin(), seen.deathIds.end());
+        unidentified += seen.deaths - std::min(seen.deaths, static_cast<uint32_t>(seen.deathIds.size()));
     }
-    return static_cast<uint32_t>(named.size()) + unnamed;
+    return static_cast<uint32_t>(identified.size()) + unidentified;
 }
 
-uint32_t SuspicionState::Suspect::forgiven() const
+uint32_t SuspicionState::Suspect::clearedDeaths() const
 {
     uint32_t most = 0;
     for (const auto& [observer, seen] : byObserver)
-        most = std::max(most, seen.forgiven);
+        most = std::max(most, seen.clearedDeaths);
     return most;
 }
 
 // A stopped request that has aged keeps all but one of the deaths that stop it: it may run once, and another death
 // stops it again at once.
-uint32_t SuspicionState::counting(const Suspect& suspect, MonotonicTime now) const
+uint32_t SuspicionState::countedDeaths(const Suspect& suspect, MonotonicTime now) const
 {
-    uint32_t total = suspect.total();
-    uint32_t forgiven = suspect.forgiven();
-    if (total <= forgiven)
+    uint32_t total = suspect.totalDeaths();
+    uint32_t cleared = suspect.clearedDeaths();
+    if (total <= cleared)
         return 0;
-    uint32_t open = total - forgiven;
-    auto age = now - suspect.latest;
+    uint32_t open = total - cleared;
+    auto age = now - suspect.latestGrowth;
     if (open >= m_settings.stopAfterDeaths)
-        return age < m_settings.stopFor ? open : m_settings.stopAfterDeaths - 1;
-    return age < m_settings.suspectFor ? open : 0;
+        return age < m_settings.stopDuration ? open : m_settings.stopAfterDeaths - 1;
+    return age < m_settings.suspicionDuration ? open : 0;
 }
 
 uint32_t SuspicionState::deaths(uint64_t fingerprint, MonotonicTime now) const
 {
     auto found = m_suspects.find(fingerprint);
-    return found == m_suspects.end() ? 0 : counting(found->second, now);
+    return found == m_suspects.end() ? 0 : countedDeaths(found->second, now);
 }
 
 SuspicionVerdict SuspicionState::verdict(uint64_t fingerprint, MonotonicTime now) const
@@ -68,7 +68,7 @@
         return SuspicionVerdict::Clear;
     if (counted >= m_settings.stopAfterDeaths)
         return SuspicionVerdict::Stopped;
-    return m_running.contains(fingerprint) ? SuspicionVerdict::OneRuns : SuspicionVerdict::Clear;
+    return m_running.contains(fingerprint) ? SuspicionVerdict::AlreadyRunning : SuspicionVerdict::Clear;
 }
 
 Milliseconds SuspicionState::retryAfter(uint64_t fingerprint, MonotonicTime now) const
@@ -76,13 +76,13 @@
     switch (verdict(fingerprint, now)) {
     case SuspicionVerdict::Clear:
         return Milliseconds(0);
-    case SuspicionVerdict::OneRuns:
-        return comeBackWhileOneRuns;
+    case SuspicionVerdict::AlreadyRunning:
+        return retryAfterWhileRunning;
     case SuspicionVerdict::Stopped:
         break;
     }
-    auto since = now - m_suspects.at(fingerprint).latest;
-    return std::chrono::ceil<Milliseconds>(m_settings.stopFor - since);
+    auto since = now - m_suspects.at(fingerprint).latestGrowth;
+    return std::chrono::ceil<Milliseconds>(m_settings.stopDuration - since);
 }
 
 std::vector<std::string> SuspicionState::replicasToAvoid(uint64_t fingerprint, MonotonicTime now) const
@@ -105,18 +105,18 @@
     ++m_running[fingerprint];
 }
 
-void SuspicionState::forgetRun(uint64_t fingerprint, std::string_view replica)
+void SuspicionState::removeRun(uint64_t fingerprint, std::string_view replica)
 {
-    auto there = m_runningByReplica.find(replica);
-    if (there == m_runningByReplica.end())
+    auto onReplica = m_runningByReplica.find(replica);
+    if (onReplica == m_runningByReplica.end())
         return;
-    auto run = there->second.find(fingerprint);
-    if (run == there->second.end())
+    auto run = onReplica->second.find(fingerprint);
+    if (run == onReplica->second.end())
         return;
     if (!--run->second)
-        there->second.erase(run);
-    if (there->second.empty())
-        m_runningByReplica.erase(there);
+        onReplica->second.erase(run);
+    if (onReplica->second.empty())
+        m_runningByReplica.erase(onReplica);
     auto total = m_running.find(fingerprint);
     if (!--total->second)
         m_running.erase(total);
@@ -124,27 +124,28 @@
 
 void SuspicionState::finished(uint64_t fingerprint, std::string_view replica, MonotonicTime)
 {
-    forgetRun(fingerprint, replica);
+    removeRun(fingerprint, replica);
     auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end())
         return;
-    Seen& own = found->second.byObserver[m_self];
-    own.forgiven = std::max(own.forgiven, found->second.total());
+    ObservedDeaths& observed = found->second.byObserver[m_self];
+    observed.clearedDeaths = std::max(observed.clearedDeaths, found->second.totalDeaths());
 }
 
-void SuspicionState::withdrawn(uint64_t fingerprint, std::string_view replica) { forgetRun(fingerprint, replica); }
+void SuspicionState::withdrawn(uint64_t fingerprint, std::string_view replica) { removeRun(fingerprint, replica); }
 
 // Nodes that observed the same number of deaths of a replica compute the same id for a death without communication.
 // Where their numbers differ, one death may count twice, or two deaths as one.
 uint64_t SuspicionState::deathId(std::string_view replica, MonotonicTime now)
 {
-    if (m_deathCounts.size() >= mostDeathCounts)
-        std::erase_if(m_deathCounts, [&](const auto& entry) { return now - entry.second.latest > m_settings.stopFor; });
+    if (m_deathCounts.size() >= maxDeathCounts)
+        std::erase_if(
+            m_deathCounts, [&](const auto& entry) { return now - entry.second.latest > m_settings.stopDuration; });
     auto known = m_deathCounts.find(replica);
     if (known == m_deathCounts.end())
         known = m_deathCounts.try_emplace(std::string(replica)).first;
     DeathCount& count = known->second;
-    if (!count.deaths || now - count.latest > sameDeathWithin) {
+    if (!count.deaths || now - count.latest > duplicateDeathWindow) {
         ++count.deaths;
         count.latest = now;
     }
@@ -156,21 +157,21 @@
 void SuspicionState::replicaDied(std::string_view replica, MonotonicTime now)
 {
     uint64_t death = deathId(replica, now);
-    auto there = m_runningByReplica.find(replica);
-    if (there == m_runningByReplica.end())
+    auto onReplica = m_runningByReplica.find(replica);
+    if (onReplica == m_runningByReplica.end())
         return;
-    auto blamed = there->second;
+    auto blamed = onReplica->second;
     for (const auto& [fingerprint, runs] : blamed) {
         if (!m_suspects.contains(fingerprint))
-            makeRoom(now);
+            evictSuspects(now);
         Suspect& suspect = m_suspects[fingerprint];
-        Seen& own = suspect.byObserver[m_self];
-        ++own.deaths;
-        if (own.deathIds.size() < mostDeathIds)
-            own.deathIds.insert(death);
-        suspect.latest = now;
+        ObservedDeaths& observed = suspect.byObserver[m_self];
+        ++observed.deaths;
+        if (observed.deathIds.size() < maxDeathIds)
+            observed.deathIds.insert(death);
+        suspect.latestGrowth = now;
         for (uint32_t run = 0; run < runs; ++run)
-            forgetRun(fingerprint, replica);
+            removeRun(fingerprint, replica);
     }
 }
 
@@ -178,11 +179,12 @@
 {
     std::vector<std::pair<MonotonicTime, SuspicionCount>> known;
     for (const auto& [fingerprint, suspect] : m_suspects) {
-        bool stopped = suspect.total() - std::min(suspect.total(), suspect.forgiven()) >= m_settings.stopAfterDeaths;
+        bool stopped = suspect.totalDeaths() - std::min(suspect.totalDeaths(), suspect.clearedDeaths())
+            >= m_settings.stopAfterDeaths;
         for (const auto& [observer, seen] : suspect.byObserver) {
             if (observer == m_self || stopped)
-                known.emplace_back(suspect.latest,
-                    SuspicionCount { fingerprint, observer, seen.deaths, seen.forgiven,
+                known.emplace_back(suspect.latestGrowth,
+                    SuspicionCount { fingerprint, observer, seen.deaths, seen.clearedDeaths,
                         { seen.deathIds.begin(), seen.deathIds.end() } });
         }
     }
@@ -192,7 +194,7 @@
     };
     std::sort(known.begin(), known.end(), newer);
     std::vector<SuspicionCount> counts;
-    for (size_t i = 0; i < std::min(known.size(), mostInGossip); ++i)
+    for (size_t i = 0; i < std::min(known.size(), maxGossipCounts); ++i)
         counts.push_back(known[i].second);
     return counts;
 }
@@ -202,31 +204,31 @@
 {
     for (const SuspicionCount& count : counts) {
         if (!m_suspects.contains(count.fingerprint))
-            makeRoom(now);
+            evictSuspects(now);
         Suspect& suspect = m_suspects[count.fingerprint];
-        Seen& seen = suspect.byObserver[count.observer];
+        ObservedDeaths& seen = suspect.byObserver[count.observer];
         if (count.deaths > seen.deaths)
-            suspect.latest = std::max(suspect.latest, now);
+            suspect.latestGrowth = std::max(suspect.latestGrowth, now);
         seen.deaths = std::max(seen.deaths, count.deaths);
-        seen.forgiven = std::max(seen.forgiven, count.forgiven);
+        seen.clearedDeaths = std::max(seen.clearedDeaths, count.clearedDeaths);
         seen.deathIds.insert(count.deathIds.begin(), count.deathIds.end());
     }
 }
 
 // Drops suspects whose deaths no longer count. If that is not enough, drops the one with the fewest counted deaths, and
 // of several the one whose counts grew longest ago.
-void SuspicionState::makeRoom(MonotonicTime now)
+void SuspicionState::evictSuspects(MonotonicTime now)
 {
-    if (m_suspects.size() < mostSuspects)
+    if (m_suspects.size() < maxSuspects)
         return;
-    std::erase_if(m_suspects, [&](const auto& entry) { return !counting(entry.second, now); });
-    if (m_suspects.size() < mostSuspects)
+    std::erase_if(m_suspects, [&](const auto& entry) { return !countedDeaths(entry.second, now); });
+    if (m_suspects.size() < maxSuspects)
         return;
-    auto lessGuilty = [&](const auto& left, const auto& right) {
-        return std::tuple(counting(left.second, now), left.second.latest)
-            < std::tuple(counting(right.second, now), right.second.latest);
+    auto hasFewerDeaths = [&](const auto& left, const auto& right) {
+        return std::tuple(countedDeaths(left.second, now), left.second.latestGrowth)
+            < std::tuple(countedDeaths(right.second, now), right.second.latestGrowth);
     };
-    m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(), lessGuilty));
+    m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(), hasFewerDeaths));
 }
 
 } // namespace Kumquatpick
--- a/src/policy/suspicionstate.h
+++ b/src/policy/suspicionstate.h
@@ -15,7 +15,7 @@
 
 enum class SuspicionVerdict : uint8_t {
     Clear, // Not suspected, or suspected while no request with the same fingerprint is running.
-    OneRuns, // Suspected, and a request with the same fingerprint is running.
+    AlreadyRunning, // Suspected, and a request with the same fingerprint is running.
     Stopped, // Too many servers died while running it.
 };
 
@@ -23,17 +23,17 @@
     // Deaths after which a request is stopped.
     uint32_t stopAfterDeaths = 3;
     // A stopped request may run once this long after its latest death.
-    Milliseconds stopFor = std::chrono::minutes(60);
+    Milliseconds stopDuration = std::chrono::minutes(60);
     // A suspicion with fewer deaths expires after this time.
-    Milliseconds suspectFor = std::chrono::minutes(10);
+    Milliseconds suspicionDuration = std::chrono::minutes(10);
 };
 
 // The logic of SuspicionTable, deterministic for given events and times. Not thread-safe.
 class SuspicionState {
 public:
-    static constexpr size_t mostSuspects = 4096;
-    static constexpr size_t mostInGossip = 64;
-    static constexpr size_t mostDeathIds = 4; // Per observer and fingerprint.
+    static constexpr size_t maxSuspects = 4096;
+    static constexpr size_t maxGossipCounts = 64;
+    static constexpr size_t maxDeathIds = 4; // Per observer and fingerprint.
 
     explicit SuspicionState(uint64_t self, SuspicionSettings settings = {});
 
@@ -56,23 +56,23 @@
     size_t suspects() const { return m_suspects.size(); }
 
 private:
-    struct Seen {
+    struct ObservedDeaths {
         uint32_t deaths = 0;
-        uint32_t forgiven = 0;
+        uint32_t clearedDeaths = 0;
         std::set<uint64_t> deathIds;
     };
 
     struct Suspect {
-        std::map<uint64_t, Seen> byObserver;
-        MonotonicTime latest {}; // When this node last saw the counts grow.
+        std::map<uint64_t, ObservedDeaths> byObserver;
+        MonotonicTime latestGrowth {}; // When this node last saw the counts grow.
 
-        uint32_t total() const;
-        uint32_t forgiven() const;
+        uint32_t totalDeaths() const;
+        uint32_t clearedDeaths() const;
     };
 
-    uint32_t counting(const Suspect&, MonotonicTime now) const;
-    void makeRoom(MonotonicTime now);
-    void forgetRun(uint64_t fingerprint, std::string_view replica);
+    uint32_t countedDeaths(const Suspect&, MonotonicTime now) const;
+    void evictSuspects(MonotonicTime now);
+    void removeRun(uint64_t fingerprint, std::string_view replica);
 
     // Deaths of one replica as observed by this node; repeated reports of the same death count once.
     struct DeathCount {
--- a/tests/node/generators.h
+++ b/tests/node/generators.h
@@ -148,7 +148,7 @@
 
 inline auto fields(const SuspicionCount& in)
 {
-    return std::tuple(in.fingerprint, in.observer, in.deaths, in.forgiven, in.deathIds);
+    return std::tuple(in.fingerprint, in.observer, in.deaths, in.clearedDeaths, in.deathIds);
 }
 
 inline auto fields(const NodeDigest& in)
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -110,7 +110,7 @@
     }
 }
 
-TEST(FairQueue, LongRunsCountForWhatTheyTook)
+TEST(FairQueue, ChargesRunsByTheirDuration)
 {
     Random random(1);
     FairQueue queue;
@@ -125,7 +125,7 @@
     EXPECT_NEAR(double(std::count(order.begin(), order.end(), "long")), 20, 3);
 }
 
-TEST(FairQueue, AnIdleTeamGathersNoClaim)
+TEST(FairQueue, AnIdleTeamEarnsNoCredit)
 {
     Random random(1);
     FairQueue queue;
@@ -148,7 +148,7 @@
 
 // For any sequence of events, no start exceeds the capacity or a team's limit, each request gets one decision, and the
 // running counts match the admitted requests.
-RC_GTEST_PROP(FairQueue, KeepsItsBoundsAndItsAccounts, (uint64_t seed))
+RC_GTEST_PROP(FairQueue, KeepsLimitsAndCounts, (uint64_t seed))
 {
     constexpr uint32_t queueLimit = 6;
     constexpr uint32_t teamLimit = 4;
@@ -192,7 +192,7 @@
         } else {
             othersRunning = static_cast<uint32_t>(random() % 6);
             std::vector<TeamUsage> others { { "s", "a", othersRunning, static_cast<uint32_t>(random() % 3) } };
-            queue.setOthersUsage(others, now);
+            queue.setRemoteUsage(others, now);
         }
         for (const QueueDecision& decision : queue.takeDecisions()) {
             RC_ASSERT(waiting.erase(decision.ticket) == 1U);
@@ -208,7 +208,7 @@
 }
 
 // If each node has the current usage of the others, a team's streams over all nodes stay within its limit.
-RC_GTEST_PROP(FairQueue, TeamLimitHoldsOverNodesThatKnowEachOther, (uint64_t seed))
+RC_GTEST_PROP(FairQueue, TeamLimitHoldsOverNodesWithCurrentUsage, (uint64_t seed))
 {
     constexpr uint32_t limit = 10;
     Random random(seed);
@@ -226,7 +226,7 @@
             if (other != index)
                 others.insert(others.end(), usage.begin(), usage.end());
         }
-        nodes[index].setOthersUsage(others, start);
+        nodes[index].setRemoteUsage(others, start);
         if (random() % 4)
             nodes[index].arrive(request(ticket, "a"), start, random);
         else
@@ -239,7 +239,7 @@
 }
 
 // A request that cannot be served in time must be refused on arrival, not at its deadline.
-TEST(FairQueue, RefusesAtOnceWhatWouldMissItsDeadline)
+TEST(FairQueue, RefusesAtOnceRequestsThatWouldMissTheirDeadline)
 {
     BusyQueue busy(2);
     size_t refused = 0;
@@ -258,7 +258,7 @@
     EXPECT_FALSE(busy.arrive("a", start + 60s));
 }
 
-TEST(FairQueue, TellsThoseRefusedToComeBackSpreadOutAndLaterTheMoreThereAre)
+TEST(FairQueue, SpreadsRetryTimesAndDelaysThemWithTheNumberOfRefusals)
 {
     BusyQueue busy(4, {}, 8);
     std::vector<Milliseconds> told;
@@ -274,7 +274,7 @@
     EXPECT_LE(*std::max_element(told.begin(), told.end()), 38s);
 }
 
-TEST(FairQueue, AFloodCrowdsOutOnlyItself)
+TEST(FairQueue, AFloodDisplacesOnlyItsOwnTeam)
 {
     BusyQueue busy(2, {}, 10);
     for (int i = 0; i < 30; ++i)
@@ -310,7 +310,7 @@
     EXPECT_EQ(order, (std::vector<Ticket> { low + 3, low + 2, low + 1, low }));
 }
 
-TEST(FairQueue, SaysThatTheTeamsOwnLimitHeldItUp)
+TEST(FairQueue, ReportsTheTeamLimitAsTheReason)
 {
     BusyQueue busy(3, { { "a", 1, 1 } });
     busy.queue.release("busy", 1s, start, busy.random);
@@ -322,7 +322,7 @@
     EXPECT_EQ(busy.arrive("b")->verdict, AdmissionVerdict::Admitted);
 }
 
-TEST(FairQueue, RefusesWhatWaitsOnceItsTimeIsUpOrTheCapacityIsGone)
+TEST(FairQueue, RefusesWaitingRequestsAtExpiryOrLossOfCapacity)
 {
     BusyQueue busy(4);
     EXPECT_FALSE(busy.arrive("a", start + 2s));
@@ -336,7 +336,7 @@
 }
 
 // Requests wait through a short loss of all capacity. After a few seconds without capacity they are refused.
-TEST(FairQueue, AnOutageIsNotWaitedOutInTheQueue)
+TEST(FairQueue, RefusesWaitingRequestsDuringAnOutage)
 {
     BusyQueue busy(1);
     busy.queue.setCapacity(0, start, busy.random);
@@ -356,7 +356,7 @@
     EXPECT_EQ(back->verdict, AdmissionVerdict::Admitted);
 }
 
-RC_GTEST_PROP(CapacityShare, IsAnEvenPartAtLeastAndElseWithinWhatOthersLeave, ())
+RC_GTEST_PROP(CapacityShare, IsAtLeastAnEvenShareAndOtherwiseWithinTheFreeStreams, ())
 {
     uint32_t streams = *rc::gen::inRange(0U, 1000U);
     uint32_t others = *rc::gen::inRange(0U, 1200U);
@@ -371,7 +371,7 @@
 }
 
 // Each waiting thread is woken for its own decision, and the running requests never exceed the capacity.
-TEST(Admission, ThreadsNeverExceedTheCapacityAndAllGetTheirTurn)
+TEST(Admission, ThreadsNeverExceedTheCapacityAndAllAreAdmitted)
 {
     constexpr uint32_t capacity = 3;
     constexpr int perThread = 200;
@@ -402,11 +402,11 @@
         thread.join();
     EXPECT_LE(most, capacity);
     EXPECT_EQ(admitted, 8 * perThread);
-    EXPECT_TRUE(admission.ownUsage().empty());
+    EXPECT_TRUE(admission.localUsage().empty());
 }
 
 // Guards against lost wake-ups when one event decides several waiting requests.
-TEST(Admission, WakesEveryoneThatOneEventAdmits)
+TEST(Admission, WakesAllThreadsThatOneEventAdmits)
 {
     constexpr uint32_t callers = 4;
     Admission admission;
@@ -420,7 +420,7 @@
         });
     }
     auto waiting = [&admission] {
-        auto usage = admission.ownUsage();
+        auto usage = admission.localUsage();
         return usage.empty() ? 0 : usage[0].waiting;
     };
     while (waiting() < callers)
@@ -432,13 +432,13 @@
         EXPECT_EQ(outcome.verdict, AdmissionVerdict::Admitted);
 }
 
-TEST(Admission, ShutDownRefusesWhatWaitsAndWhatComes)
+TEST(Admission, ShutDownRefusesWaitingAndNewRequests)
 {
     Admission admission;
     admission.setCapacity("s", 0, monotonicNow());
     AdmissionOutcome outcome;
     std::thread waiter([&] { outcome = admission.admit({ "s", "a", Priority::Normal, monotonicNow() + 1h }); });
-    while (admission.ownUsage().empty())
+    while (admission.localUsage().empty())
         std::this_thread::yield();
     admission.shutDown();
     waiter.join();
--- a/tests/policy/bench_test.cpp
+++ b/tests/policy/bench_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // Compares with times computed by hand for an idle, a shared and a full replica and for a cached prompt.
-TEST(PolicyBench, TheModelReplicaKeepsTime)
+TEST(PolicyBench, TheModelReplicaMatchesTimesComputedByHand)
 {
     EventQueue events;
     std::map<uint64_t, double> firstTokens;
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -44,9 +44,9 @@
         RC_ASSERT(std::includes(freeHosts.begin(), freeHosts.end(), chosen.begin(), chosen.end()));
     }
 
-    PlacementFigures meanOver(PlacementRun run, uint64_t seeds)
+    PlacementMetrics meanOver(PlacementRun run, uint64_t seeds)
     {
-        PlacementFigures sum;
+        PlacementMetrics sum;
         for (run.seed = 1; run.seed <= seeds; ++run.seed) {
             auto figures = runPlacement(run);
             sum.downReplicaHours += figures.downReplicaHours / static_cast<double>(seeds);
@@ -112,7 +112,7 @@
 }
 
 // Compares the policies on the same faults; the results depend only on the seeds.
-TEST(Placement, TheWeightsMoveBothMeasuresTheUsersWay)
+TEST(Placement, TheWeightsTradeDowntimeForStrandedHosts)
 {
     constexpr double slowStore = 0.08;
     constexpr uint64_t seeds = 5;
--- a/tests/policy/retrybudget_test.cpp
+++ b/tests/policy/retrybudget_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST(MayRetry, OnlyWhatIsRepeatableOrWasNeverSent)
+TEST(MayRetry, OnlyRepeatableOrUnsentRequests)
 {
     for (auto code : { ErrorCode::Unreachable, ErrorCode::Timeout, ErrorCode::BrokenOff, ErrorCode::Refused,
              ErrorCode::Stale, ErrorCode::Malformed, ErrorCode::Overloaded }) {
@@ -36,7 +36,7 @@
     for (auto [first, pause] : steps) {
         now += Milliseconds(pause);
         if (first) {
-            budget.firstTry("s", now);
+            budget.recordFirstAttempt("s", now);
             tries += 1;
         } else if (budget.takeRetry("s", now)) {
             retries += 1;
@@ -52,7 +52,7 @@
     auto retriesOf = [&budget](int tries, int wishesEach) {
         int retries = 0;
         for (int i = 0; i < tries; ++i) {
-            budget.firstTry("s", start);
+            budget.recordFirstAttempt("s", start);
             for (int wish = 0; wish < wishesEach; ++wish)
                 retries += budget.takeRetry("s", start);
         }
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -42,7 +42,7 @@
 
 // After any sequence of events, the chosen replica is serving and not excluded, and no request stays in flight at the
 // end.
-RC_GTEST_PROP(Router, ChoosesOnlyWhatServes, (uint32_t seed))
+RC_GTEST_PROP(Router, ChoosesOnlyServingReplicas, (uint32_t seed))
 {
     Router router(seed);
     std::vector<std::string> inFlight;
@@ -100,7 +100,7 @@
     EXPECT_EQ(router.freeStreams(), 32U - 20U);
 }
 
-TEST(Router, ALiarIsFoundOutByItsFirstTokens)
+TEST(Router, AnUnderreportingReplicaIsDetectedByItsFirstTokens)
 {
     ServiceRouter router;
     router.setServing({ sample("honest", 8), sample("liar", 0) });
@@ -118,7 +118,7 @@
     EXPECT_LE(late, 5);
 }
 
-TEST(Router, FailuresCostWeightAndATrialGivesItBack)
+TEST(Router, FailuresReduceTheWeightAndASuccessRestoresIt)
 {
     ServiceRouter router;
     router.setServing({ sample("a"), sample("b"), sample("c") });
@@ -146,7 +146,7 @@
 }
 
 // A replica that refused a request and asked for a backoff still got the next requests.
-TEST(Router, AReplicaThatAskedForABackoffIsLeftAloneUntilItEnds)
+TEST(Router, AReplicaThatAskedForABackoffGetsNoRequestsUntilItEnds)
 {
     ServiceRouter router;
     router.setServing({ sample("a"), sample("b") });
@@ -161,22 +161,22 @@
         return times;
     };
     EXPECT_GT(timesChosen(start), 20);
-    router.backoffAsked("a", Milliseconds(3000), start);
-    router.backoffAsked("a", Milliseconds(1000), start);
-    router.backoffAsked("unknown", Milliseconds(1000), start);
+    router.backoffRequested("a", Milliseconds(3000), start);
+    router.backoffRequested("a", Milliseconds(1000), start);
+    router.backoffRequested("unknown", Milliseconds(1000), start);
     router.setServing({ sample("a"), sample("b") });
     EXPECT_EQ(timesChosen(start), 0);
     EXPECT_EQ(timesChosen(start + Milliseconds(2999)), 0);
     EXPECT_GT(timesChosen(start + Milliseconds(3000)), 20);
-    router.backoffAsked("a", std::chrono::hours(24), start + std::chrono::minutes(1));
+    router.backoffRequested("a", std::chrono::hours(24), start + std::chrono::minutes(1));
     EXPECT_EQ(timesChosen(start + std::chrono::minutes(2)), 0);
     EXPECT_GT(timesChosen(start + std::chrono::minutes(3)), 20) << "no replica is left alone for a day";
     std::vector<std::string> others { "b" };
-    router.backoffAsked("a", Milliseconds(3000), start + std::chrono::minutes(4));
+    router.backoffRequested("a", Milliseconds(3000), start + std::chrono::minutes(4));
     EXPECT_EQ(router.choose(plain(others), start + std::chrono::minutes(4), random), "") << "rather none";
 }
 
-TEST(Router, AStalledReplicaLosesOutBeforeItAnswers)
+TEST(Router, AStalledReplicaIsAvoidedBeforeItAnswers)
 {
     ServiceRouter router;
     router.setServing({ sample("a"), sample("b") });
@@ -185,7 +185,7 @@
     EXPECT_GT(router.expectedSeconds("a", start + std::chrono::seconds(20)), 10 * router.expectedSeconds("b", start));
 }
 
-TEST(Router, HoldersOfThePrefixArePreferredUntilTheyAreFullOrInDoubt)
+TEST(Router, CachedPrefixesArePreferredUntilTheReplicaIsFullOrEventsAreLost)
 {
     std::vector<uint64_t> prefixes { 11, 12, 13 };
     RequestShape shape { "s", "z", prefixes, {} };
@@ -214,7 +214,7 @@
     EXPECT_EQ(choices(uneven, plain(), 20, start, Milliseconds(200))["far"], 20);
 }
 
-TEST(Router, ThreadsLeaveNothingBehind)
+TEST(Router, NoRequestStaysInFlightAfterConcurrentUse)
 {
     Router router(3);
     router.setServing("s", { sample("a"), sample("b"), sample("c") });
--- a/tests/policy/suspicion_test.cpp
+++ b/tests/policy/suspicion_test.cpp
@@ -23,7 +23,7 @@
     bool same(const SuspicionCount& left, const SuspicionCount& right)
     {
         return left.fingerprint == right.fingerprint && left.observer == right.observer && left.deaths == right.deaths
-            && left.forgiven == right.forgiven;
+            && left.clearedDeaths == right.clearedDeaths;
     }
 
 } // namespace
@@ -85,7 +85,7 @@
     RC_ASSERT(std::equal(left.begin(), left.end(), right.begin(), right.end(), same));
 }
 
-TEST(Suspicion, DeathsSeenByDifferentNodesAddUp)
+TEST(Suspicion, DeathsObservedByDifferentNodesAddUp)
 {
     SuspicionState first(1);
     SuspicionState second(2);
@@ -103,16 +103,16 @@
     fresh.merge(second.counts(), start);
     EXPECT_EQ(fresh.verdict(poison, start), SuspicionVerdict::Stopped);
     // After an hour one run is allowed; a death during that run stops the request again.
-    auto later = start + SuspicionSettings {}.stopFor;
+    auto later = start + SuspicionSettings {}.stopDuration;
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Clear);
     fresh.dispatched(poison, "d", later);
-    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::OneRuns);
+    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::AlreadyRunning);
     fresh.replicaDied("d", later);
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Stopped);
 }
 
 // Several nodes ran copies of a popular request on one server. Its single death counted once per node.
-TEST(Suspicion, OneDeathSeenByManyNodesCountsOnce)
+TEST(Suspicion, OneDeathObservedByManyNodesCountsOnce)
 {
     std::vector<SuspicionState> nodes { SuspicionState(1), SuspicionState(2), SuspicionState(3), SuspicionState(4) };
     for (int i = 0; i < 2; ++i) {
@@ -136,20 +136,20 @@
     EXPECT_EQ(nodes[0].deaths(8, start), 3U);
 }
 
-TEST(Suspicion, AnEndThatSaysNothingNeitherBlamesNorClears)
+TEST(Suspicion, AnInconclusiveEndNeitherCountsNorClears)
 {
     SuspicionState state(1);
     state.dispatched(7, "a", start);
     state.replicaDied("a", start);
     state.dispatched(7, "b", start);
-    EXPECT_EQ(state.verdict(7, start), SuspicionVerdict::OneRuns);
+    EXPECT_EQ(state.verdict(7, start), SuspicionVerdict::AlreadyRunning);
     state.withdrawn(7, "b");
     state.replicaDied("b", start);
     EXPECT_EQ(state.verdict(7, start), SuspicionVerdict::Clear);
     EXPECT_EQ(state.deaths(7, start), 1U);
 }
 
-TEST(Suspicion, NormalEndClearsAnInnocentEverywhere)
+TEST(Suspicion, ANormalEndClearsTheRequestOnAllNodes)
 {
     SuspicionState here(1);
     SuspicionState there(2);
@@ -166,7 +166,7 @@
     EXPECT_EQ(there.deaths(7, start), 0U);
 }
 
-TEST(Suspicion, SuspectsKeepOffEachOthersReplicas)
+TEST(Suspicion, SuspectsAvoidEachOthersReplicas)
 {
     SuspicionState state(1);
     state.dispatched(1, "a", start);
@@ -179,18 +179,18 @@
     EXPECT_TRUE(state.replicasToAvoid(3, start).empty());
 }
 
-TEST(Suspicion, MemoryIsBoundedAndTheStoppedStay)
+TEST(Suspicion, MemoryIsBoundedAndStoppedRequestsAreKept)
 {
     SuspicionState state(1);
     std::vector<SuspicionCount> stopped { { poison, 2, SuspicionSettings {}.stopAfterDeaths } };
     state.merge(stopped, start);
-    for (uint64_t fingerprint = 1000; fingerprint < 1000 + 2 * SuspicionState::mostSuspects; ++fingerprint) {
+    for (uint64_t fingerprint = 1000; fingerprint < 1000 + 2 * SuspicionState::maxSuspects; ++fingerprint) {
         std::vector<SuspicionCount> once { { fingerprint, 2, 1 } };
         state.merge(once, start + Milliseconds(fingerprint));
     }
-    EXPECT_LE(state.suspects(), SuspicionState::mostSuspects);
+    EXPECT_LE(state.suspects(), SuspicionState::maxSuspects);
     EXPECT_EQ(state.verdict(poison, start + Milliseconds(20000)), SuspicionVerdict::Stopped);
-    EXPECT_LE(state.counts().size(), SuspicionState::mostInGossip);
+    EXPECT_LE(state.counts().size(), SuspicionState::maxGossipCounts);
 }
 
 } // namespace Kumquatpick
