--- a/src/policy/bench_placement_table.cpp
+++ b/src/policy/bench_placement_table.cpp
@@ -82,8 +82,8 @@
     arena.execute(
         [&] { tbb::parallel_for(size_t { 0 }, runs.size(), [&](size_t i) { figures[i] = runPlacement(runs[i]); }); });
     BenchTable table { fmt::format("placement: mean of {} seeds of 30 days", seeds),
-        { "hours a load", "policy", "down replica h", "of it loading", "least possible", "stranded host h",
-            "least possible", "loads", "moves" },
+        { "hours per load", "policy", "down replica h", "of which loading", "lower bound", "stranded host h",
+            "lower bound", "loads", "moves" },
         {} };
     std::span<const PlacementMetrics> rest(figures);
     for (double hours : hoursPerLoad) {
--- a/src/policy/bench_retries.cpp
+++ b/src/policy/bench_retries.cpp
@@ -244,7 +244,7 @@
 BenchTable benchRetries(uint64_t seed)
 {
     BenchTable table { "retries",
-        { "outage", "retries", "dispatches a request", "answered in time", "answer p95 s", "recovery s" }, {} };
+        { "outage", "retries", "dispatches per request", "answered in time", "answer p95 s", "recovery s" }, {} };
     const std::vector<std::pair<std::string, Outage>> outages { { "30% refuse", Outage::Refusing },
         { "30% hang", Outage::Hanging }, { "load 1.5", Outage::Overload } };
     const std::vector<std::pair<std::string, RetryMode>> modes { { "never", RetryMode::Never },
--- a/src/policy/bench_routing.cpp
+++ b/src/policy/bench_routing.cpp
@@ -282,7 +282,7 @@
             { "ours, no affinity", router(noAffinity), true },
             { "ours, no learned speed", router(noSpeed), true },
             { "ours, corrected reports only", router(reportsOnly), true },
-            { "ours, reports as they come", router(asReported), true },
+            { "ours, uncorrected reports", router(asReported), true },
         };
     }
 
@@ -291,10 +291,10 @@
 BenchTable benchRouting(uint64_t seed)
 {
     const std::vector<Scenario> scenarios {
-        { "all well", 0.8, 0, 0, true },
+        { "all healthy", 0.8, 0, 0, true },
         { "one slow", 0.8, 1, 0, false },
-        { "one lying", 0.8, 0, 1, false },
-        { "slow and lying, busy", 0.95, 2, 2, true },
+        { "one underreporting", 0.8, 0, 1, false },
+        { "slow and underreporting, busy", 0.95, 2, 2, true },
     };
     BenchTable table { "routing",
         { "scenario", "way", "ttft p50 s", "ttft p95 s", "ttft p99 s", "finished/s", "cache hit share", "same zone" },
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -170,10 +170,10 @@
     EXPECT_GT(timesChosen(start + Milliseconds(3000)), 20);
     router.backoffRequested("a", std::chrono::hours(24), start + std::chrono::minutes(1));
     EXPECT_EQ(timesChosen(start + std::chrono::minutes(2)), 0);
-    EXPECT_GT(timesChosen(start + std::chrono::minutes(3)), 20) << "no replica is left alone for a day";
+    EXPECT_GT(timesChosen(start + std::chrono::minutes(3)), 20) << "a backoff of a day is cut short for each replica";
     std::vector<std::string> others { "b" };
     router.backoffRequested("a", Milliseconds(3000), start + std::chrono::minutes(4));
-    EXPECT_EQ(router.choose(plain(others), start + std::chrono::minutes(4), random), "") << "rather none";
+    EXPECT_EQ(router.choose(plain(others), start + std::chrono::minutes(4), random), "") << "none is chosen";
 }
 
 TEST(Router, AStalledReplicaIsAvoidedBeforeItAnswers)
