--- a/src/policy/bench_placement.cpp
+++ b/src/policy/bench_placement.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-    // A fleet with one host in twenty-four to spare.
+    // The wanted replicas need 276 of the 288 hosts, so one host in 24 is spare.
     constexpr uint32_t zoneCount = 3;
     constexpr uint32_t domainCount = 24;
     constexpr uint32_t hostsPerDomain = 12;
@@ -24,18 +24,18 @@
         uint32_t wanted;
     };
 
-    // In the order in which they depend on each other: earlier ones are built first.
+    // In dependency order: replicas of earlier services are built first.
     constexpr ServiceSize serviceSizes[] = { { 4, 36 }, { 3, 24 }, { 2, 30 } };
 
-    // Hours.
+    // All times are in hours.
     constexpr double meanTimeToFailure = 240;
     constexpr double meanTimeToRepair = 4;
     constexpr double meanTimeToFlap = 600;
     constexpr double flapLength = 0.05;
-    constexpr double meanTimeToDark = 24 * 45;
-    constexpr double darkLength = 1;
+    constexpr double meanTimeToDomainOutage = 24 * 45;
+    constexpr double domainOutageLength = 1;
     constexpr double never = 1e9;
-    constexpr double warmLoad = 0.002; // Weights that are still in the host's memory.
+    constexpr double warmLoad = 0.002; // Time to load weights that are still in the hosts' memory.
 
     struct Fault {
         double at = 0;
@@ -49,12 +49,12 @@
         double length, double end)
     {
         for (double at = exponential(random, every); at < end; at += exponential(random, every)) {
-            double back = at + exponential(random, length);
+            double recovered = at + exponential(random, length);
             for (uint32_t host : hosts) {
                 faults.push_back({ at, host, false });
-                faults.push_back({ back, host, true });
+                faults.push_back({ recovered, host, true });
             }
-            at = back;
+            at = recovered;
         }
     }
 
@@ -63,15 +63,15 @@
         Random random(seed);
         std::vector<Fault> faults;
         for (uint32_t host = 0; host < hostCount; ++host) {
-            const std::array own { host };
-            addOutages(faults, random, own, meanTimeToFailure, meanTimeToRepair, hours);
-            addOutages(faults, random, own, meanTimeToFlap, flapLength, hours);
+            const std::array single { host };
+            addOutages(faults, random, single, meanTimeToFailure, meanTimeToRepair, hours);
+            addOutages(faults, random, single, meanTimeToFlap, flapLength, hours);
         }
         for (uint32_t domain = 0; domain < domainCount; ++domain) {
             std::vector<uint32_t> hosts;
             for (uint32_t i = 0; i < hostsPerDomain; ++i)
                 hosts.push_back(domain * hostsPerDomain + i);
-            addOutages(faults, random, hosts, meanTimeToDark, darkLength, hours);
+            addOutages(faults, random, hosts, meanTimeToDomainOutage, domainOutageLength, hours);
         }
         std::stable_sort(faults.begin(), faults.end(), [](auto& a, auto& b) { return a.at < b.at; });
         return faults;
@@ -83,7 +83,7 @@
         std::vector<uint32_t> hosts;
         uint32_t coldHosts = 0;
         double servesAt = 0;
-        uint64_t replaces = 0; // The replica that ends when this one serves; 0 if none.
+        uint64_t replaces = 0; // The replica that is removed once this one serves; 0 if none.
         bool replaced = false;
     };
 
@@ -91,14 +91,14 @@
     public:
         explicit Fleet(const PlacementRun& run)
             : m_run(run)
-            , m_downs(hostCount, 0)
+            , m_faultCounts(hostCount, 0)
             , m_warmFor(hostCount, noService)
             , m_usedBy(hostCount, 0)
         {
             reconcile();
         }
 
-        PlacementFigures play()
+        PlacementMetrics run()
         {
             double end = m_run.days * 24;
             for (const Fault& fault : faultSequence(m_run.seed, end)) {
@@ -113,7 +113,7 @@
         }
 
     private:
-        // Loads finish on the way; each may end a replica that was moved.
+        // Completes the loads that end before then; each may end the replica that it replaces.
         void advanceTo(double at)
         {
             while (auto next = nextServing(at)) {
@@ -182,11 +182,11 @@
 
         uint32_t upHosts(uint32_t domain) const
         {
-            auto first = m_downs.begin() + domain * hostsPerDomain;
+            auto first = m_faultCounts.begin() + domain * hostsPerDomain;
             return static_cast<uint32_t>(std::count(first, first + hostsPerDomain, 0));
         }
 
-        // Hosts that the wanted replicas need beyond what any packing of the domains can use.
+        // Hosts that the wanted replicas need in excess of those that the best packing of the domains can use.
         double hostsShort() const
         {
             double needed = 0;
@@ -215,22 +215,22 @@
             return unusable;
         }
 
-        bool isFree(uint32_t host) const { return m_downs[host] == 0 && m_usedBy[host] == 0; }
+        bool isFree(uint32_t host) const { return m_faultCounts[host] == 0 && m_usedBy[host] == 0; }
 
-        // Overlapping faults of one host (its own and its domain's) end when the last one does.
+        // A host with overlapping faults (its own and its domain's) is up again when the last one ends.
         void apply(const Fault& fault)
         {
             if (fault.up) {
-                --m_downs[fault.host];
+                --m_faultCounts[fault.host];
                 return;
             }
-            ++m_downs[fault.host];
+            ++m_faultCounts[fault.host];
             m_warmFor[fault.host] = noService;
             if (m_usedBy[fault.host] != 0)
-                end(m_usedBy[fault.host]);
+                removeReplica(m_usedBy[fault.host]);
         }
 
-        void end(uint64_t id)
+        void removeReplica(uint64_t id)
         {
             Replica replica = m_replicas.at(id);
             m_replicas.erase(id);
@@ -241,7 +241,7 @@
             for (uint32_t host : replica.hosts) {
                 m_usedBy[host] = 0;
                 if (replica.servesAt > m_now)
-                    m_warmFor[host] = noService; // Half loaded is not loaded.
+                    m_warmFor[host] = noService; // Incomplete weights cannot be reused.
             }
             if (replica.replaces != 0 && m_replicas.contains(replica.replaces))
                 m_replicas.at(replica.replaces).replaced = false;
@@ -251,7 +251,7 @@
         {
             uint64_t old = std::exchange(m_replicas.at(id).replaces, 0);
             if (old != 0 && m_replicas.contains(old))
-                end(old);
+                removeReplica(old);
         }
 
         void reconcile()
@@ -264,7 +264,7 @@
 
         bool placeOne(uint32_t service)
         {
-            PlacementView view = look();
+            PlacementView view = placementView();
             if (view.services[service].placed >= view.services[service].wanted)
                 return false;
             auto choice
@@ -303,7 +303,7 @@
             ++m_figures.moves;
         }
 
-        PlacementView look()
+        PlacementView placementView()
         {
             PlacementView view;
             view.zones = zoneCount;
@@ -340,7 +340,7 @@
             startNextLoad();
         }
 
-        // The store serves one replica after another, which gets the first ones up soonest.
+        // The store serves one replica at a time, so that the first ones serve as early as possible.
         void startNextLoad()
         {
             if (m_loading != 0)
@@ -371,19 +371,19 @@
 
         PlacementRun m_run;
         std::vector<PlacementService> m_services = services();
-        std::vector<uint32_t> m_downs; // Faults that hold a host down now.
+        std::vector<uint32_t> m_faultCounts; // Number of current faults of each host.
         std::vector<uint32_t> m_warmFor;
         std::vector<uint64_t> m_usedBy; // Replica id; 0 if free.
         std::map<uint64_t, Replica> m_replicas;
         uint64_t m_lastId = 0;
         double m_now = 0;
-        uint64_t m_loading = 0; // The replica that the store serves now; 0 if none.
+        uint64_t m_loading = 0; // The replica that is loading from the store; 0 if none.
         bool m_unplaced = false;
-        PlacementFigures m_figures;
+        PlacementMetrics m_figures;
     };
 
 }
 
-PlacementFigures runPlacement(const PlacementRun& run) { return Fleet(run).play(); }
+PlacementMetrics runPlacement(const PlacementRun& run) { return Fleet(run).run(); }
 
 } // namespace Kumquatpick
--- a/src/policy/bench_routing.cpp
+++ b/src/policy/bench_routing.cpp
@@ -21,21 +21,22 @@
     constexpr double measuredUntil = 180;
     constexpr double reportPeriod = 1;
     constexpr uint32_t conversations = 3000;
-    constexpr uint32_t templates = 40; // System prompts that conversations share.
+    constexpr uint32_t templates = 40; // System prompts shared by conversations.
     constexpr size_t templateDepth = 3;
     constexpr size_t promptDepth = 7;
     constexpr double promptSeconds = 0.6;
     constexpr double fixedSeconds = 0.06;
     constexpr double answerSeconds = 2.5;
-    // Streams share a replica's speed: at the limit it does limit / (1 + sharing * (limit - 1)) seconds a second.
+    // Streams share a replica's speed: at the limit it does limit / (1 + sharing * (limit - 1)) seconds of work per
+    // second.
     constexpr double fullRate = streamLimit / (1 + 0.08 * (streamLimit - 1));
 
     struct Scenario {
         std::string name;
-        double load = 0.7; // Of what all replicas do at full batch without any cache.
-        uint32_t slow = 0; // Replicas at a fifth of the speed.
-        uint32_t lying = 0; // Replicas that are at half speed and report that they are idle.
-        bool withParts = false; // Also measures our way with one part left out.
+        double load = 0.7; // Relative to the work of all replicas at the stream limit without any cache.
+        uint32_t slow = 0; // Replicas at a fifth of the normal speed.
+        uint32_t underreporting = 0; // Replicas at half speed that report no load.
+        bool withFeaturesDisabled = false; // Also measures ServiceRouter with single features disabled.
     };
 
     struct RandomChoice { };
@@ -53,27 +54,27 @@
     uint32_t replicaIndex(std::string_view name) { return uint32_t(name[1] - '0') * 10 + uint32_t(name[2] - '0'); }
     std::string zoneName(uint32_t index) { return fmt::format("z{}", index % zoneCount); }
 
-    // How each way chooses; all keep to what a node can know.
+    // Chooses a replica with each algorithm, using only data that a node has.
     struct Choose {
         const RequestShape& shape;
         MonotonicTime now;
         Random& random;
 
         uint32_t operator()(RandomChoice&) const { return uint32_t(random() % replicaCount); }
-        uint32_t operator()(RoundRobin& way) const { return way.next++ % replicaCount; }
-        uint32_t operator()(LeastOutstanding& way) const
+        uint32_t operator()(RoundRobin& chooser) const { return chooser.next++ % replicaCount; }
+        uint32_t operator()(LeastOutstanding& chooser) const
         {
             auto first = uint32_t(random() % replicaCount);
             uint32_t best = first;
             for (uint32_t step = 1; step < replicaCount; ++step) {
                 uint32_t index = (first + step) % replicaCount;
-                if (way.inFlight[index] < way.inFlight[best])
+                if (chooser.inFlight[index] < chooser.inFlight[best])
                     best = index;
             }
-            ++way.inFlight[best];
+            ++chooser.inFlight[best];
             return best;
         }
-        uint32_t operator()(ServiceRouter& way) const { return replicaIndex(way.choose(shape, now, random)); }
+        uint32_t operator()(ServiceRouter& router) const { return replicaIndex(router.choose(shape, now, random)); }
     };
 
     struct RoutingOutcome {
@@ -115,7 +116,7 @@
         };
 
         bool isSlow(uint32_t index) const { return index < m_scenario.slow; }
-        bool isLying(uint32_t index) const { return index >= replicaCount - m_scenario.lying; }
+        bool underreports(uint32_t index) const { return index >= replicaCount - m_scenario.underreporting; }
         bool measured() const { return m_events.now() >= measuredFrom; }
 
         void addReplica(uint32_t index)
@@ -124,7 +125,7 @@
             settings.streamLimit = streamLimit;
             if (isSlow(index))
                 settings.speed = 0.2;
-            if (isLying(index))
+            if (underreports(index))
                 settings.speed = 0.5;
             ModelReplica::Callbacks callbacks;
             callbacks.firstToken = [this](uint64_t id, double hit) { firstToken(id, hit); };
@@ -135,15 +136,15 @@
             m_samples[index] = { replicaName(index), zoneName(index), streamLimit, 0, 0, 0, EventQueue::timeAt(0) };
         }
 
-        // What a node reads is already old, and it reads only once in a while.
+        // Nodes receive reports periodically and with a delay.
         void report(uint32_t node, double delay)
         {
             m_events.after(delay, [this, node] {
                 std::vector<ReplicaSample> samples = m_samples;
                 for (uint32_t index = 0; index < replicaCount; ++index) {
                     samples[index].reportedAt = m_events.time();
-                    samples[index].reportedRunning = isLying(index) ? 0 : m_replicas[index]->running();
-                    samples[index].reportedQueued = isLying(index) ? 0 : m_replicas[index]->queued();
+                    samples[index].reportedRunning = underreports(index) ? 0 : m_replicas[index]->running();
+                    samples[index].reportedQueued = underreports(index) ? 0 : m_replicas[index]->queued();
                 }
                 double lag = uniform(m_random, 0.3, 1.2);
                 m_events.after(lag, [this, node, samples = std::move(samples)] {
@@ -180,7 +181,7 @@
             });
         }
 
-        // A few conversations are much busier than the rest; each starts with one of the shared templates.
+        // Some conversations send far more requests than others. Each starts with one of the shared templates.
         ModelRequest nextRequest()
         {
             auto conversation = uint32_t(conversations * std::pow(uniform(m_load, 0, 1), 2));
@@ -226,8 +227,8 @@
             m_inFlight.erase(id);
             if (auto* router = std::get_if<ServiceRouter>(&m_nodes[flight.node]))
                 router->ended(replicaName(flight.replica), DispatchEnd::Finished, m_events.time());
-            if (auto* way = std::get_if<LeastOutstanding>(&m_nodes[flight.node]))
-                --way->inFlight[flight.replica];
+            if (auto* chooser = std::get_if<LeastOutstanding>(&m_nodes[flight.node]))
+                --chooser->inFlight[flight.replica];
             if (measured())
                 ++m_outcome.finished;
         }
@@ -236,7 +237,7 @@
         EventQueue m_events;
         Random m_random;
         Random m_choices;
-        Random m_load; // Apart, so that every way meets the same requests.
+        Random m_load; // A separate generator, so that all algorithms get the same requests.
         std::vector<Chooser> m_nodes;
         std::vector<std::unique_ptr<ModelReplica>> m_replicas;
         std::vector<ReplicaSample> m_samples;
@@ -257,20 +258,20 @@
         };
     }
 
-    struct Way {
+    struct RoutingVariant {
         std::string name;
         MakeChooser make;
-        bool part = false;
+        bool hasFeatureDisabled = false;
     };
 
-    std::vector<Way> ways()
+    std::vector<RoutingVariant> routingVariants()
     {
         RouterSettings noAffinity;
         noAffinity.usesPrefixes = false;
         RouterSettings noSpeed;
         noSpeed.learnsSpeed = false;
         RouterSettings reportsOnly;
-        reportsOnly.reportShare = 1;
+        reportsOnly.reportWeight = 1;
         RouterSettings asReported = reportsOnly;
         asReported.correctsReports = false;
         return {
@@ -281,7 +282,7 @@
             { "ours, no affinity", router(noAffinity), true },
             { "ours, no learned speed", router(noSpeed), true },
             { "ours, corrected reports only", router(reportsOnly), true },
-            { "ours, reports as they come", router(asReported), true },
+            { "ours, uncorrected reports", router(asReported), true },
         };
     }
 
@@ -290,26 +291,26 @@
 BenchTable benchRouting(uint64_t seed)
 {
     const std::vector<Scenario> scenarios {
-        { "all well", 0.8, 0, 0, true },
+        { "all healthy", 0.8, 0, 0, true },
         { "one slow", 0.8, 1, 0, false },
-        { "one lying", 0.8, 0, 1, false },
-        { "slow and lying, busy", 0.95, 2, 2, true },
+        { "one underreporting", 0.8, 0, 1, false },
+        { "slow and underreporting, busy", 0.95, 2, 2, true },
     };
     BenchTable table { "routing",
         { "scenario", "way", "ttft p50 s", "ttft p95 s", "ttft p99 s", "finished/s", "cache hit share", "same zone" },
         {} };
     for (const Scenario& scenario : scenarios) {
-        for (const Way& way : ways()) {
-            if (way.part && !scenario.withParts)
+        for (const RoutingVariant& variant : routingVariants()) {
+            if (variant.hasFeatureDisabled && !scenario.withFeaturesDisabled)
                 continue;
-            RoutingOutcome outcome = RoutingRun(scenario, way.make, seed).run();
+            RoutingOutcome outcome = RoutingRun(scenario, variant.make, seed).run();
             double p50 = quantile(outcome.firstTokens, 0.5);
             double p95 = quantile(outcome.firstTokens, 0.95);
             double p99 = quantile(outcome.firstTokens, 0.99);
             double perSecond = outcome.finished / (measuredUntil - measuredFrom);
             double sameZone = outcome.sameZone / double(outcome.firstTokens.size());
             double hitShare = outcome.hits / double(outcome.firstTokens.size());
-            table.rows.push_back({ scenario.name, way.name, fmt::format("{:.3f}", p50), fmt::format("{:.3f}", p95),
+            table.rows.push_back({ scenario.name, variant.name, fmt::format("{:.3f}", p50), fmt::format("{:.3f}", p95),
                 fmt::format("{:.3f}", p99), fmt::format("{:.1f}", perSecond), fmt::format("{:.3f}", hitShare),
                 fmt::format("{:.2f}", sameZone) });
         }
@@ -322,7 +323,8 @@
     constexpr uint32_t nodes = 320;
     constexpr uint32_t replicas = 12000;
     constexpr uint32_t watchers = 8;
-    constexpr uint32_t sampledNodes = 64; // One in five; each costs a pass over all pairs.
+    constexpr uint32_t sampledNodes
+        = 64; // One in five, because each needs a pass over all pairs of nodes and replicas.
     std::vector<std::string> nodeNames;
     for (uint32_t index = 0; index < nodes; ++index)
         nodeNames.push_back(fmt::format("node-{}-{}", seed, index));
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -44,9 +44,9 @@
         RC_ASSERT(std::includes(freeHosts.begin(), freeHosts.end(), chosen.begin(), chosen.end()));
     }
 
-    PlacementFigures meanOver(PlacementRun run, uint64_t seeds)
+    PlacementMetrics meanOver(PlacementRun run, uint64_t seeds)
     {
-        PlacementFigures sum;
+        PlacementMetrics sum;
         for (run.seed = 1; run.seed <= seeds; ++run.seed) {
             auto figures = runPlacement(run);
             sum.downReplicaHours += figures.downReplicaHours / static_cast<double>(seeds);
@@ -111,8 +111,8 @@
     EXPECT_EQ(choosePlacement(view, 0)->hosts, (std::vector<std::string> { "c", "b" }));
 }
 
-// The decision's verdict on the same faults: the figures are a function of the seeds alone.
-TEST(Placement, TheWeightsMoveBothMeasuresTheUsersWay)
+// Compares the policies on the same faults; the results depend only on the seeds.
+TEST(Placement, TheWeightsTradeDowntimeForStrandedHosts)
 {
     constexpr double slowStore = 0.08;
     constexpr uint64_t seeds = 5;
--- a/tests/policy/retrybudget_test.cpp
+++ b/tests/policy/retrybudget_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST(MayRetry, OnlyWhatIsRepeatableOrWasNeverSent)
+TEST(MayRetry, OnlyRepeatableOrUnsentRequests)
 {
     for (auto code : { ErrorCode::Unreachable, ErrorCode::Timeout, ErrorCode::BrokenOff, ErrorCode::Refused,
              ErrorCode::Stale, ErrorCode::Malformed, ErrorCode::Overloaded }) {
@@ -25,8 +25,8 @@
     }
 }
 
-// However first tries and retries fall, the retries stay within a twentieth of the tries plus the trickle and the
-// start.
+// For any sequence of first attempts and retries, the retries stay within a twentieth of the attempts, plus the amounts
+// earned per second and available at the start.
 RC_GTEST_PROP(RetryBudget, RetriesStayWithinTheirShare, (const std::vector<std::pair<bool, uint8_t>>& steps))
 {
     RetryBudget budget;
@@ -36,7 +36,7 @@
     for (auto [first, pause] : steps) {
         now += Milliseconds(pause);
         if (first) {
-            budget.firstTry("s", now);
+            budget.recordFirstAttempt("s", now);
             tries += 1;
         } else if (budget.takeRetry("s", now)) {
             retries += 1;
@@ -45,14 +45,14 @@
     }
 }
 
-// A service that fails as a whole is not kept down by retries; once it is well again, retries are earned again.
+// Retries must not keep a failing service overloaded. Once it has recovered, retries are earned again.
 TEST(RetryBudget, EarnsLessWhileItStaysEmptyAndRecovers)
 {
     RetryBudget budget;
     auto retriesOf = [&budget](int tries, int wishesEach) {
         int retries = 0;
         for (int i = 0; i < tries; ++i) {
-            budget.firstTry("s", start);
+            budget.recordFirstAttempt("s", start);
             for (int wish = 0; wish < wishesEach; ++wish)
                 retries += budget.takeRetry("s", start);
         }
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -22,7 +22,7 @@
 
     RequestShape plain(std::span<const std::string> avoid = {}) { return { "s", "z", {}, avoid }; }
 
-    // How often each replica is chosen in a row of requests that each end before the next comes.
+    // Counts how often each replica is chosen in a sequence of requests that each end before the next arrives.
     std::map<std::string, int> choices(
         ServiceRouter& router, const RequestShape& shape, int times, MonotonicTime now, Milliseconds firstToken)
     {
@@ -40,8 +40,9 @@
 
 } // namespace
 
-// Whatever happened before, what is chosen serves and is not to be avoided; nothing is left in flight at the end.
-RC_GTEST_PROP(Router, ChoosesOnlyWhatServes, (uint32_t seed))
+// After any sequence of events, the chosen replica is serving and not excluded, and no request stays in flight at the
+// end.
+RC_GTEST_PROP(Router, ChoosesOnlyServingReplicas, (uint32_t seed))
 {
     Router router(seed);
     std::vector<std::string> inFlight;
@@ -93,13 +94,13 @@
     std::map<std::string, int> chosen;
     for (int i = 0; i < 10; ++i)
         ++chosen[router.choose(plain(), start + Milliseconds(i), random)];
-    // The report says a throughout; what was sent there since evens them out.
+    // By the report alone, a would always be chosen; the dispatches since then even out the two.
     EXPECT_GE(chosen["b"], 3);
     EXPECT_GE(chosen["a"], 3);
     EXPECT_EQ(router.freeStreams(), 32U - 20U);
 }
 
-TEST(Router, ALiarIsFoundOutByItsFirstTokens)
+TEST(Router, AnUnderreportingReplicaIsDetectedByItsFirstTokens)
 {
     ServiceRouter router;
     router.setServing({ sample("honest", 8), sample("liar", 0) });
@@ -117,7 +118,7 @@
     EXPECT_LE(late, 5);
 }
 
-TEST(Router, FailuresCostWeightAndATrialGivesItBack)
+TEST(Router, FailuresReduceTheWeightAndASuccessRestoresIt)
 {
     ServiceRouter router;
     router.setServing({ sample("a"), sample("b"), sample("c") });
@@ -132,7 +133,7 @@
     EXPECT_GT(choices(router, plain(), 60, now, Milliseconds(200))["a"], 5);
 }
 
-// A full engine's refusal used to count as a failure: under load the best replicas lost weight for being busy.
+// The refusal of a full engine counted as a failure, so that under load the best replicas lost weight for being busy.
 TEST(Router, ARefusalAsFullCostsNoWeight)
 {
     ServiceRouter router;
@@ -144,8 +145,8 @@
     EXPECT_LE(router.expectedSeconds("a", start), before);
 }
 
-// A replica that refused and said when to retry got the next requests all the same.
-TEST(Router, AReplicaThatAskedForABackoffIsLeftAloneUntilItEnds)
+// A replica that refused a request and asked for a backoff still got the next requests.
+TEST(Router, AReplicaThatAskedForABackoffGetsNoRequestsUntilItEnds)
 {
     ServiceRouter router;
     router.setServing({ sample("a"), sample("b") });
@@ -160,22 +161,22 @@
         return times;
     };
     EXPECT_GT(timesChosen(start), 20);
-    router.backoffAsked("a", Milliseconds(3000), start);
-    router.backoffAsked("a", Milliseconds(1000), start);
-    router.backoffAsked("unknown", Milliseconds(1000), start);
+    router.backoffRequested("a", Milliseconds(3000), start);
+    router.backoffRequested("a", Milliseconds(1000), start);
+    router.backoffRequested("unknown", Milliseconds(1000), start);
     router.setServing({ sample("a"), sample("b") });
     EXPECT_EQ(timesChosen(start), 0);
     EXPECT_EQ(timesChosen(start + Milliseconds(2999)), 0);
     EXPECT_GT(timesChosen(start + Milliseconds(3000)), 20);
-    router.backoffAsked("a", std::chrono::hours(24), start + std::chrono::minutes(1));
+    router.backoffRequested("a", std::chrono::hours(24), start + std::chrono::minutes(1));
     EXPECT_EQ(timesChosen(start + std::chrono::minutes(2)), 0);
-    EXPECT_GT(timesChosen(start + std::chrono::minutes(3)), 20) << "no replica is left alone for a day";
+    EXPECT_GT(timesChosen(start + std::chrono::minutes(3)), 20) << "a backoff of a day is cut short for each replica";
     std::vector<std::string> others { "b" };
-    router.backoffAsked("a", Milliseconds(3000), start + std::chrono::minutes(4));
-    EXPECT_EQ(router.choose(plain(others), start + std::chrono::minutes(4), random), "") << "rather none";
+    router.backoffRequested("a", Milliseconds(3000), start + std::chrono::minutes(4));
+    EXPECT_EQ(router.choose(plain(others), start + std::chrono::minutes(4), random), "") << "none is chosen";
 }
 
-TEST(Router, AStalledReplicaLosesOutBeforeItAnswers)
+TEST(Router, AStalledReplicaIsAvoidedBeforeItAnswers)
 {
     ServiceRouter router;
     router.setServing({ sample("a"), sample("b") });
@@ -184,7 +185,7 @@
     EXPECT_GT(router.expectedSeconds("a", start + std::chrono::seconds(20)), 10 * router.expectedSeconds("b", start));
 }
 
-TEST(Router, HoldersOfThePrefixArePreferredUntilTheyAreFullOrInDoubt)
+TEST(Router, CachedPrefixesArePreferredUntilTheReplicaIsFullOrEventsAreLost)
 {
     std::vector<uint64_t> prefixes { 11, 12, 13 };
     RequestShape shape { "s", "z", prefixes, {} };
@@ -213,7 +214,7 @@
     EXPECT_EQ(choices(uneven, plain(), 20, start, Milliseconds(200))["far"], 20);
 }
 
-TEST(Router, ThreadsLeaveNothingBehind)
+TEST(Router, NoRequestStaysInFlightAfterConcurrentUse)
 {
     Router router(3);
     router.setServing("s", { sample("a"), sample("b"), sample("c") });
@@ -255,7 +256,7 @@
     std::vector<std::string> fewer(nodes.begin(), nodes.end() - 1);
     for (size_t i = 0; i < fewer.size(); ++i) {
         auto after = replicaSubset(fewer[i], fewer, replicas, 4);
-        // Nothing is lost by those that stay.
+        // The remaining nodes keep all replicas that they watched.
         std::set<std::string> kept(after.begin(), after.end());
         EXPECT_TRUE(std::all_of(
             before[i].begin(), before[i].end(), [&](const std::string& replica) { return kept.contains(replica); }));
--- a/tests/policy/suspicion_test.cpp
+++ b/tests/policy/suspicion_test.cpp
@@ -23,12 +23,12 @@
     bool same(const SuspicionCount& left, const SuspicionCount& right)
     {
         return left.fingerprint == right.fingerprint && left.observer == right.observer && left.deaths == right.deaths
-            && left.forgiven == right.forgiven;
+            && left.clearedDeaths == right.clearedDeaths;
     }
 
 } // namespace
 
-// Whatever runs beside it and ends between its runs, the request is stopped once it has killed three servers.
+// A request is stopped after three server deaths, whatever other requests run beside it or end between its runs.
 RC_GTEST_PROP(Suspicion, StopsAfterThreeDeathsForAnyInterleaving, ())
 {
     SuspicionState state(1);
@@ -42,7 +42,7 @@
         uint64_t innocent = *rc::gen::inRange<uint64_t>(0, 8);
         if (step == 0 && state.verdict(poison, now) == SuspicionVerdict::Clear) {
             RC_ASSERT(deaths < SuspicionSettings {}.stopAfterDeaths);
-            // Before the first death nothing tells it from others, so copies may run at once; after it only one.
+            // Before the first death several copies may run at once; after it only one.
             RC_ASSERT(!deaths || poisoned.empty());
             state.dispatched(poison, replica, now);
             poisoned.push_back(replica);
@@ -62,7 +62,7 @@
         RC_ASSERT(state.verdict(poison, now) == SuspicionVerdict::Stopped);
 }
 
-// Gossip comes in any order, repeated, and cut into pieces: the counts end up the same.
+// Gossip may arrive in any order, repeated and in parts; the resulting counts must be the same.
 RC_GTEST_PROP(
     Suspicion, MergesCommuteAndRepeat, (const std::vector<std::tuple<uint8_t, uint8_t, uint8_t, uint8_t>>& raw))
 {
@@ -85,7 +85,7 @@
     RC_ASSERT(std::equal(left.begin(), left.end(), right.begin(), right.end(), same));
 }
 
-TEST(Suspicion, DeathsSeenByDifferentNodesAddUp)
+TEST(Suspicion, DeathsObservedByDifferentNodesAddUp)
 {
     SuspicionState first(1);
     SuspicionState second(2);
@@ -99,20 +99,20 @@
     second.replicaDied("c", start);
     EXPECT_EQ(second.verdict(poison, start), SuspicionVerdict::Stopped);
     EXPECT_GT(second.retryAfter(poison, start), Milliseconds(0));
-    // A node that started later hears it from the second alone, even if the first is gone.
+    // A node that starts later gets all counts from the second node, even if the first has left.
     fresh.merge(second.counts(), start);
     EXPECT_EQ(fresh.verdict(poison, start), SuspicionVerdict::Stopped);
-    // After an hour one trial is allowed; a death in it stops it again.
-    auto later = start + SuspicionSettings {}.stopFor;
+    // After an hour one run is allowed; a death during that run stops the request again.
+    auto later = start + SuspicionSettings {}.stopDuration;
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Clear);
     fresh.dispatched(poison, "d", later);
-    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::OneRuns);
+    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::AlreadyRunning);
     fresh.replicaDied("d", later);
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Stopped);
 }
 
-// Copies of a popular request ran on one server through several nodes: it died once, not once for each node.
-TEST(Suspicion, OneDeathSeenByManyNodesCountsOnce)
+// Several nodes ran copies of a popular request on one server. Its single death counted once per node.
+TEST(Suspicion, OneDeathObservedByManyNodesCountsOnce)
 {
     std::vector<SuspicionState> nodes { SuspicionState(1), SuspicionState(2), SuspicionState(3), SuspicionState(4) };
     for (int i = 0; i < 2; ++i) {
@@ -120,7 +120,7 @@
         for (SuspicionState& node : nodes) {
             if (&node != &nodes[1] || i == 0)
                 node.dispatched(7, "a", now);
-            // Told by a broken stream and again by the probes.
+            // Reported by a broken stream and again by the probes.
             node.replicaDied("a", now);
             node.replicaDied("a", now + Milliseconds(300));
         }
@@ -130,26 +130,26 @@
             EXPECT_EQ(node.deaths(7, now), uint32_t(i + 1));
         }
     }
-    // What comes without the names of the deaths is added up, as nothing says that they were the same.
+    // Deaths without ids are added up, as they cannot be recognised as the same.
     std::vector<SuspicionCount> unnamed { { 8, 5, 1 }, { 8, 6, 2 } };
     nodes[0].merge(unnamed, start);
     EXPECT_EQ(nodes[0].deaths(8, start), 3U);
 }
 
-TEST(Suspicion, AnEndThatSaysNothingNeitherBlamesNorClears)
+TEST(Suspicion, AnInconclusiveEndNeitherCountsNorClears)
 {
     SuspicionState state(1);
     state.dispatched(7, "a", start);
     state.replicaDied("a", start);
     state.dispatched(7, "b", start);
-    EXPECT_EQ(state.verdict(7, start), SuspicionVerdict::OneRuns);
+    EXPECT_EQ(state.verdict(7, start), SuspicionVerdict::AlreadyRunning);
     state.withdrawn(7, "b");
     state.replicaDied("b", start);
     EXPECT_EQ(state.verdict(7, start), SuspicionVerdict::Clear);
     EXPECT_EQ(state.deaths(7, start), 1U);
 }
 
-TEST(Suspicion, NormalEndClearsAnInnocentEverywhere)
+TEST(Suspicion, ANormalEndClearsTheRequestOnAllNodes)
 {
     SuspicionState here(1);
     SuspicionState there(2);
@@ -166,7 +166,7 @@
     EXPECT_EQ(there.deaths(7, start), 0U);
 }
 
-TEST(Suspicion, SuspectsKeepOffEachOthersReplicas)
+TEST(Suspicion, SuspectsAvoidEachOthersReplicas)
 {
     SuspicionState state(1);
     state.dispatched(1, "a", start);
@@ -179,18 +179,18 @@
     EXPECT_TRUE(state.replicasToAvoid(3, start).empty());
 }
 
-TEST(Suspicion, MemoryIsBoundedAndTheStoppedStay)
+TEST(Suspicion, MemoryIsBoundedAndStoppedRequestsAreKept)
 {
     SuspicionState state(1);
     std::vector<SuspicionCount> stopped { { poison, 2, SuspicionSettings {}.stopAfterDeaths } };
     state.merge(stopped, start);
-    for (uint64_t fingerprint = 1000; fingerprint < 1000 + 2 * SuspicionState::mostSuspects; ++fingerprint) {
+    for (uint64_t fingerprint = 1000; fingerprint < 1000 + 2 * SuspicionState::maxSuspects; ++fingerprint) {
         std::vector<SuspicionCount> once { { fingerprint, 2, 1 } };
         state.merge(once, start + Milliseconds(fingerprint));
     }
-    EXPECT_LE(state.suspects(), SuspicionState::mostSuspects);
+    EXPECT_LE(state.suspects(), SuspicionState::maxSuspects);
     EXPECT_EQ(state.verdict(poison, start + Milliseconds(20000)), SuspicionVerdict::Stopped);
-    EXPECT_LE(state.counts().size(), SuspicionState::mostInGossip);
+    EXPECT_LE(state.counts().size(), SuspicionState::maxGossipCounts);
 }
 
 } // namespace Kumquatpick
