--- a/src/gateway/activecall.h
+++ b/src/gateway/activecall.h
@@ -9,16 +9,17 @@
 
 namespace Kumquatpick {
 
-// Why a call ends before its answer is whole.
-enum class CallEnd : uint8_t {
+// Why a call is cancelled before its response is complete.
+enum class CancelReason : uint8_t {
     None,
-    CallerLeft,
-    TimeUp,
-    Stopping, // The node's time to stop is over.
+    CallerDisconnected,
+    DeadlineExceeded,
+    NodeShutdown, // The shutdown grace period of the node is over.
 };
 
-// A call in progress as those see it who may have to cut it off: the watch on the caller, the clock, and what watches
-// the replicas. Cutting closes the connection to the backend server, which ends its work there.
+// The cancellation state of a call in progress, used by the watch on the caller's connection, the deadline timer and
+// the detection of stalled replicas. Cancelling closes the connection to the backend server, which then stops its work
+// on the call.
 struct ActiveCall {
     ActiveCall(asio::ip::tcp::socket& callerSocket, const asio::any_io_executor& executor)
         : caller(callerSocket)
@@ -28,27 +29,27 @@
 
     asio::ip::tcp::socket& caller;
     asio::steady_timer timer;
-    std::string hostId; // Of the backend server that has the call now; empty if none.
+    std::string hostId; // Backend server that currently handles the call; empty if none.
     beast::tcp_stream* backend = nullptr;
-    CallEnd end = CallEnd::None;
-    bool isStalled = false; // The present send was cut because its replica stands still.
-    bool answerBegun = false; // The caller has the head of an answer.
+    CancelReason cancelReason = CancelReason::None;
+    bool isStalled = false; // The current send was cancelled because its replica is stalled.
+    bool responseStarted = false; // The response head was sent to the caller.
     bool isDone = false;
 
-    void cut(CallEnd why)
+    void cancel(CancelReason why)
     {
-        if (isDone || end != CallEnd::None)
+        if (isDone || cancelReason != CancelReason::None)
             return;
-        end = why;
+        cancelReason = why;
         closeBackend();
-        // An answer that has begun can only be ended by its connection.
-        if (answerBegun || why == CallEnd::CallerLeft) {
-            beast::error_code ignored; // Closing a broken socket has nothing to report.
+        // Once the response has started, only closing the connection can end it early.
+        if (responseStarted || why == CancelReason::CallerDisconnected) {
+            beast::error_code ignored; // An error while closing a broken socket needs no handling.
             caller.close(ignored);
         }
     }
 
-    void cutStalledSend()
+    void cancelStalledSend()
     {
         if (isDone || !backend)
             return;
--- a/src/gateway/callersession.cpp
+++ b/src/gateway/callersession.cpp
@@ -16,13 +16,13 @@
 namespace {
 
     constexpr size_t firstReadBytes = 4096;
-    // A request that began to arrive must be whole within this; the longest bodies take a part of a second.
+    // Limit for reading a request body; the longest bodies take a fraction of a second.
     constexpr Milliseconds bodyTimeout { 10'000 };
-    // Closing a connection with unread bytes would reset it, and the caller might lose the answer just sent.
-    constexpr Milliseconds lingerTime { 500 };
-    constexpr size_t lingerBytes = 256 * 1024;
-    // While a next request lies unread in a connection, its end shows only when looked for.
-    constexpr Milliseconds lookAgain { 50 };
+    // Closing a connection with unread bytes resets it, and the caller might lose the response that was just sent.
+    constexpr Milliseconds lingerTimeout { 500 };
+    constexpr size_t maxLingerBytes = 256 * 1024;
+    // While the next request lies unread in a connection, its end can only be detected by polling.
+    constexpr Milliseconds disconnectPollPeriod { 50 };
 
     bool hasPeerClosed(asio::ip::tcp::socket& socket)
     {
@@ -30,8 +30,9 @@
         return ::poll(&entry, 1, 0) > 0 && (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
     }
 
-    // Two readings of where a body ends would let one caller's bytes be taken for another request.
-    bool hasOneLength(const RequestHead& head)
+    // With more than one length, two parsers could disagree on where the body ends and treat part of it as another
+    // request (request smuggling).
+    bool hasSingleBodyLength(const RequestHead& head)
     {
         auto [first, last] = head.equal_range(http::field::content_length);
         auto lengths = std::distance(first, last);
@@ -45,7 +46,7 @@
     : m_context(context)
     , m_stream(std::move(socket))
 {
-    beast::error_code ignored; // A connection that is gone already fails at its first use.
+    beast::error_code ignored; // A connection that is already closed fails at its first use.
     m_stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
 }
 
@@ -75,7 +76,7 @@
         m_isIdle = keep && m_buffer.size() == 0;
     }
     if (m_stream.socket().is_open())
-        co_await closeGently();
+        co_await closeAfterLinger();
 }
 
 asio::awaitable<bool> CallerSession::awaitFirstByte()
@@ -88,9 +89,9 @@
     co_return !error && count > 0;
 }
 
-// The head, then the body, each within its time. A stream's own timeout would close the connection, and the caller
-// would not hear why.
-asio::awaitable<beast::error_code> CallerSession::readParts(RequestParser& parser)
+// Reads the head and then the body, each with its own timeout. The timeout of a stream would close the connection
+// before the caller could be sent the reason.
+asio::awaitable<beast::error_code> CallerSession::readHeadAndBody(RequestParser& parser)
 {
     m_stream.expires_never();
     asio::steady_timer timer(m_stream.get_executor(), limits().headerTimeout);
@@ -99,7 +100,7 @@
         if (error)
             return;
         *isLate = true;
-        beast::error_code ignored; // Nothing is being read any more then.
+        beast::error_code ignored; // If this fails, no read is pending.
         self->m_stream.socket().cancel(ignored);
     };
     timer.async_wait(cancelReads);
@@ -107,10 +108,10 @@
     if (headError)
         co_return *isLate ? beast::error_code(beast::error::timeout) : headError;
     if (parser.get()[http::field::expect] == "100-continue") {
-        constexpr std::string_view goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-        co_await asio::async_write(m_stream, asio::buffer(goOn), asTuple);
+        constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+        co_await asio::async_write(m_stream, asio::buffer(continueResponse), asTuple);
     }
-    if (!hasOneLength(parser.get()))
+    if (!hasSingleBodyLength(parser.get()))
         co_return http::error::bad_content_length;
     if (parser.is_done())
         co_return beast::error_code();
@@ -122,15 +123,15 @@
 
 asio::awaitable<bool> CallerSession::readRequest(RequestParser& parser)
 {
-    beast::error_code error = co_await readParts(parser);
+    beast::error_code error = co_await readHeadAndBody(parser);
     if (!error)
         co_return true;
     if (error == http::error::header_limit)
-        co_await refuse(http::status::request_header_fields_too_large, "the head is too large");
+        co_await refuse(http::status::request_header_fields_too_large, "the request head is too large");
     else if (error == http::error::body_limit)
-        co_await refuse(http::status::payload_too_large, "the body is too large");
+        co_await refuse(http::status::payload_too_large, "the request body is too large");
     else if (error == beast::error::timeout)
-        co_await refuse(http::status::request_timeout, "the request did not arrive in time");
+        co_await refuse(http::status::request_timeout, "timed out while reading the request");
     else if (error != http::error::end_of_stream && error != asio::error::connection_reset)
         co_await refuse(http::status::bad_request, error.message());
     co_return false;
@@ -149,27 +150,27 @@
     call.body = std::move(request.body());
 
     CallForwarder forwarder(m_context, m_stream, std::move(call), keepAlive);
-    asio::co_spawn(m_stream.get_executor(), watchCaller(forwarder.active()),
+    asio::co_spawn(m_stream.get_executor(), watchForDisconnect(forwarder.active()),
         [self = shared_from_this()](const std::exception_ptr&) {});
     bool keep = co_await forwarder.run();
     forwarder.active()->isDone = true;
-    beast::error_code ignored; // Ends the watch; the connection may be closed by now.
+    beast::error_code ignored; // Ends watchForDisconnect(); the connection may already be closed.
     m_stream.socket().cancel(ignored);
     co_return keep;
 }
 
-// A caller that closes its connection wants no answer any more: the work for it ends at the backend server too.
-asio::awaitable<void> CallerSession::watchCaller(std::shared_ptr<ActiveCall> call)
+// When the caller closes its connection, the call is cancelled, which also ends the work at the backend server.
+asio::awaitable<void> CallerSession::watchForDisconnect(std::shared_ptr<ActiveCall> call)
 {
     while (!call->isDone) {
         auto [error] = co_await m_stream.socket().async_wait(asio::ip::tcp::socket::wait_read, asTuple);
         if (error || call->isDone)
             co_return;
         if (hasPeerClosed(m_stream.socket())) {
-            call->cut(CallEnd::CallerLeft);
+            call->cancel(CancelReason::CallerDisconnected);
             co_return;
         }
-        co_await pause(lookAgain);
+        co_await pause(disconnectPollPeriod);
     }
 }
 
@@ -181,18 +182,18 @@
     response.set(http::field::content_type, "application/json");
     response.body() = nlohmann::json { { "error", reason } }.dump();
     response.prepare_payload();
-    m_stream.expires_after(lingerTime);
+    m_stream.expires_after(lingerTimeout);
     co_await http::async_write(m_stream, response, asTuple);
 }
 
-asio::awaitable<void> CallerSession::closeGently()
+asio::awaitable<void> CallerSession::closeAfterLinger()
 {
-    beast::error_code ignored; // Whatever fails here, the connection ends below.
+    beast::error_code ignored; // The connection is closed below in any case.
     m_stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    m_stream.expires_after(lingerTime);
+    m_stream.expires_after(lingerTimeout);
     size_t dropped = 0;
     std::array<char, firstReadBytes> bytes {};
-    while (dropped < lingerBytes) {
+    while (dropped < maxLingerBytes) {
         auto [error, count] = co_await m_stream.async_read_some(asio::buffer(bytes), asTuple);
         if (error || count == 0)
             break;
--- a/src/gateway/callforwarder.h
+++ b/src/gateway/callforwarder.h
@@ -15,11 +15,11 @@
 
 namespace Kumquatpick {
 
-// Takes one call from its first byte of body to its one final answer: finds its route and team, sends it to a backend
-// server, and to another one where that can do no harm, and hands the answer back. Lives as long as the call.
+// Handles one call until its final response: finds its route and team, sends it to a backend server, sends it to
+// another one where that is safe, and returns the response. Lives as long as the call.
 //
-// Two facts decide everything that may be said: whether some send may have run the call, and whether the caller has
-// the head of an answer. A refusal that promises "not run" is only given while the first is false.
+// Two facts determine which responses are allowed: whether any send may have run the call, and whether the caller has
+// received a response head. A refusal that guarantees "not run" is only sent while no send may have run the call.
 class CallForwarder {
 public:
     CallForwarder(GatewayContext&, beast::tcp_stream& caller, Call, bool keepAlive);
@@ -27,55 +27,55 @@
     CallForwarder(const CallForwarder&) = delete;
     CallForwarder& operator=(const CallForwarder&) = delete;
 
-    // Whether the caller's connection may carry another request.
+    // Returns whether the caller's connection may carry another request.
     asio::awaitable<bool> run();
     const std::shared_ptr<ActiveCall>& active() const { return m_active; }
 
 private:
     enum class SendOutcome : uint8_t {
-        Answered, // The whole answer is with the caller.
-        NotRun, // Nothing reached a backend server, or it promised not to run it.
-        Unusable, // Its answer can't be given to the caller, or is a failure that another server may not repeat.
-        Broken, // The connection ended, or the replica stands still, before the answer was whole.
+        Answered, // The complete response was sent to the caller.
+        NotRun, // The request reached no backend server, or the server guarantees that it will not run it.
+        Unusable, // The response cannot be forwarded, or reports a failure that another server may not have.
+        Broken, // The connection was closed, or the replica stalled, before the response was complete.
         CallerBroken, // The caller's connection failed.
     };
     using BodyParser = http::response_parser<http::buffer_body>;
 
-    // What to do with it.
+    // Routing and scheduling of the call.
     bool findRoute();
-    bool checkKey();
-    void startClock();
-    bool cameBack();
+    bool authenticateTeam();
+    void startDeadlineTimer();
+    bool isCallerRetry();
     int priority() const;
-    MonotonicTime waitsForHostUntil() const;
+    MonotonicTime hostWaitDeadline() const;
     bool chooseHost(MonotonicTime now);
     asio::awaitable<bool> awaitHost();
-    bool mayTryAgain(SendOutcome, MonotonicTime now);
-    Milliseconds patienceLeft() const;
+    bool maySendAgain(SendOutcome, MonotonicTime now);
+    Milliseconds timeLeft() const;
     bool mayRepeat() const { return m_route->idempotent || m_route->resumable; }
 
-    // One send.
+    // One send to a backend server.
     asio::awaitable<SendOutcome> sendOnce();
     asio::awaitable<SendOutcome> sendOver(PeerConnection&);
     asio::awaitable<SendOutcome> readReply(PeerConnection&);
-    asio::awaitable<bool> readOwnHead(PeerConnection&, std::unique_ptr<BodyParser>&, Reply&);
-    // What the backend server says of itself beside its answer.
-    void noteServer(const Reply&);
-    void noteDraining(const Reply&);
-    void noteBackoff(const Reply&);
-    void noteLimit(const Reply&);
+    asio::awaitable<bool> readMatchingHead(PeerConnection&, std::unique_ptr<BodyParser>&, ReplyHead&);
+    // Status that the backend server reports along with its response.
+    void applyServerNotice(const ReplyHead&);
+    void applyDrainingNotice(const ReplyHead&);
+    void applyBackoffNotice(const ReplyHead&);
+    void applyLimitNotice(const ReplyHead&);
     asio::awaitable<bool> readBody(PeerConnection&, BodyParser&, std::string& body);
-    asio::awaitable<SendOutcome> passStream(PeerConnection&, BodyParser&);
+    asio::awaitable<SendOutcome> forwardStream(PeerConnection&, BodyParser&);
     asio::awaitable<bool> writeEvents(const ResponseHead&, std::string events);
-    asio::awaitable<SendOutcome> passWhole(const ResponseHead&, const Reply&, std::string body);
+    asio::awaitable<SendOutcome> forwardResponse(const ResponseHead&, const ReplyHead&, std::string body);
 
-    // The final answer.
-    asio::awaitable<void> answer(HttpResponse);
-    asio::awaitable<void> answerFailed();
-    HttpResponse refusal(http::status, std::string_view reason, std::optional<Milliseconds> retryAfter = {});
-    HttpResponse notConfigured(http::status, std::string_view reason);
-    Milliseconds comeBackIn();
-    void finish(std::string_view outcome, std::string_view reason);
+    // The final response.
+    asio::awaitable<void> respond(HttpResponse);
+    asio::awaitable<void> respondWithFailure();
+    HttpResponse refusalResponse(http::status, std::string_view reason, std::optional<Milliseconds> retryAfter = {});
+    HttpResponse notConfiguredResponse(http::status, std::string_view reason);
+    Milliseconds retryAfterDelay();
+    void recordOutcome(std::string_view outcome, std::string_view reason);
 
     GatewayContext& m_context;
     beast::tcp_stream& m_caller;
@@ -86,26 +86,27 @@
     const TeamSpec* m_team = nullptr;
     std::string m_service;
     bool m_servesModels = false;
-    bool m_cameBack = false; // It was refused before, as its patience tells.
+    bool m_isCallerRetry = false; // Refused before, judged by its shorter timeout.
     MonotonicTime m_arrived;
     MonotonicTime m_deadline;
     std::shared_ptr<ActiveCall> m_active;
-    EventStream m_events;
+    EventStream m_eventStream;
 
-    std::string m_hostId; // Of the present send.
-    MonotonicTime m_sentAt {}; // Likewise.
-    std::vector<std::string> m_tried;
+    std::string m_hostId; // Host of the current send.
+    MonotonicTime m_sentAt {}; // Time of the current send.
+    std::vector<std::string> m_triedHostIds;
     uint32_t m_sends = 0;
-    uint32_t m_runs = 0; // Sends that may have run it.
-    bool m_hasArrived = false; // The latest send had a connection.
-    uint32_t m_inFlightBefore = 0; // At the host of the latest send, over all nodes as known here.
-    bool m_mayReuseConnection = false; // After a refusal.
-    SendEnd m_sendEnd = SendEnd::NotTaken; // How the present send ended, for the balancer.
-    bool m_headPassed = false;
+    uint32_t m_possibleRuns = 0; // Sends that may have run the call.
+    bool m_hadConnection = false; // The latest send got a connection.
+    uint32_t m_inFlightBefore = 0; // At the host of the latest send, over all nodes known here.
+    bool m_mayReuseConnection = false; // Set after a refusal.
+    SendEnd m_sendEnd = SendEnd::NotTaken; // Result of the current send, for the balancer.
+    bool m_headForwarded = false;
     std::optional<MonotonicTime> m_firstEventAt;
-    std::optional<HttpResponse> m_lastFailure; // A backend server's own failure, to be given if nothing better comes.
-    std::string m_lastProblem;
-    bool m_isFinished = false;
+    // Failure reported by a backend server, returned if no later send succeeds.
+    std::optional<HttpResponse> m_lastFailureResponse;
+    std::string m_lastError;
+    bool m_isLogged = false;
 };
 
 } // namespace Kumquatpick
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -13,14 +13,14 @@
 
     using nlohmann::json;
 
-    // A call lasts about a second. Choices by counts that are 0.5 s old fill one replica in eleven beyond its places,
-    // by counts of 0.1 s one in a hundred: simulated for 75 replicas of fourteen places that are two thirds full.
+    // A call lasts about a second. Choosing by counts that are 0.5 s old overfills one replica in eleven, and by counts
+    // that are 0.1 s old one in a hundred, in a simulation of 75 replicas with fourteen slots each at two thirds load.
     constexpr Milliseconds period { 100 };
     constexpr Milliseconds callTimeout { 300 };
-    constexpr Milliseconds othersLast { 1000 };
-    // While one that adds up is silent, the next one does; it is soon taken for gone.
+    constexpr Milliseconds othersValidity { 1000 };
+    // If the first aggregating node is silent, the next one takes over; the first is soon considered dead.
     constexpr size_t candidates = 2;
-    constexpr Milliseconds tryAgainAfter { 2000 };
+    constexpr Milliseconds failedPeerDelay { 2000 };
     constexpr const char* duty = "add-loads";
 
     std::string encodeLoads(const char* field, std::string_view name, const LoadsByHost& loads)
@@ -29,21 +29,21 @@
         return { bytes.begin(), bytes.end() };
     }
 
-    // What names its sender, by one of two fields, and the loads.
-    struct ToldLoads {
+    // A message with the sender's node or zone name and its loads.
+    struct LoadMessage {
         std::string node;
         std::string zone;
         LoadsByHost loads;
     };
 
-    std::optional<ToldLoads> decodeLoads(std::string_view bytes)
+    std::optional<LoadMessage> decodeLoads(std::string_view bytes)
     {
         try {
             json document = json::from_cbor(bytes.begin(), bytes.end());
-            return ToldLoads { document.value("node", ""), document.value("zone", ""),
+            return LoadMessage { document.value("node", ""), document.value("zone", ""),
                 document.at("loads").get<LoadsByHost>() };
         } catch (const json::exception&) {
-            return std::nullopt; // Its reader logs it.
+            return std::nullopt; // The receiver logs it.
         }
     }
 
@@ -59,7 +59,7 @@
 
 const LoadsByHost* LoadExchange::others() const
 {
-    bool isFresh = m_heardAt && m_context.now() - *m_heardAt < othersLast;
+    bool isFresh = m_othersUpdatedAt && m_context.now() - *m_othersUpdatedAt < othersValidity;
     return isFresh ? &m_others : nullptr;
 }
 
@@ -67,28 +67,28 @@
 {
     for (;;) {
         co_await pause(period);
-        if (m_peers.callsAllEachRound() || m_context.off.contains(Mechanism::LoadExchange))
+        if (m_peers.reachesAllEachRound() || m_context.disabledMechanisms.contains(Mechanism::LoadExchange))
             continue;
         MonotonicTime now = m_context.now();
-        std::erase_if(m_failedAt, [&](const auto& entry) { return now - entry.second > tryAgainAfter; });
+        std::erase_if(m_failedAt, [&](const auto& entry) { return now - entry.second > failedPeerDelay; });
         auto adding = m_peers.chosenOf(m_context.settings.zone, duty, candidates);
         std::erase_if(adding, [this](const std::string& peer) { return m_failedAt.contains(peer); });
         bool addsUp = adding.empty() || adding.front() == self();
         if (addsUp)
             m_board.nodeTold(self(), m_context.balancer.inFlight(), now);
         if (m_board.isUsed(now))
-            askOtherZones();
+            exchangeWithOtherZones();
         if (addsUp) {
             m_others = m_board.othersOf(self(), now);
-            m_heardAt = now;
+            m_othersUpdatedAt = now;
         } else {
-            co_await tell(adding.front());
+            co_await reportLoads(adding.front());
         }
     }
 }
 
-// The loads that the peer tells in return; a peer that gives none is left alone for a while.
-asio::awaitable<std::optional<LoadsByHost>> LoadExchange::ask(
+// Sends loads to a peer and returns those that it sends back. After a failure the peer is not used for a while.
+asio::awaitable<std::optional<LoadsByHost>> LoadExchange::exchangeLoads(
     std::string peer, const char* field, std::string name, LoadsByHost loads)
 {
     auto address = settle([&] { return Address::parse(peer); });
@@ -102,40 +102,41 @@
     if (told)
         co_return std::move(told->loads);
     m_failedAt[peer] = m_context.now();
-    m_context.log.write("loads_not_heard",
-        { { "peer", peer }, { "of", field },
-            { "problem", response ? "an answer that can't be read" : describe(std::get<Error>(answer)) } });
+    m_context.log.write("load_exchange_failed",
+        { { "peer", peer }, { "sender_kind", field },
+            { "problem", response ? "the response cannot be decoded" : describe(std::get<Error>(answer)) } });
     co_return std::nullopt;
 }
 
-asio::awaitable<void> LoadExchange::tell(std::string peer)
+asio::awaitable<void> LoadExchange::reportLoads(std::string peer)
 {
-    auto loads = co_await ask(std::move(peer), "node", self(), m_context.balancer.inFlight());
+    auto loads = co_await exchangeLoads(std::move(peer), "node", self(), m_context.balancer.inFlight());
     if (!loads)
         co_return;
     m_others = std::move(*loads);
-    m_heardAt = m_context.now();
+    m_othersUpdatedAt = m_context.now();
 }
 
-// One question tells both zones, so a zone that just asked is not asked.
-void LoadExchange::askOtherZones()
+// One exchange updates both zones, so a zone that has just sent its loads is skipped.
+void LoadExchange::exchangeWithOtherZones()
 {
     for (const std::string& zone : m_peers.otherZones()) {
-        if (m_asking.contains(zone) || m_board.heardOfZone(zone, period * 3 / 4, m_context.now()))
+        if (m_pendingZones.contains(zone) || m_board.heardOfZone(zone, period * 3 / 4, m_context.now()))
             continue;
         auto adding = m_peers.chosenOf(zone, duty, candidates);
         std::erase_if(adding, [this](const std::string& peer) { return m_failedAt.contains(peer); });
         if (adding.empty())
             continue;
-        m_asking.insert(zone);
-        asio::co_spawn(m_context.io, askZone(zone, adding.front()), asio::detached);
+        m_pendingZones.insert(zone);
+        asio::co_spawn(m_context.io, exchangeWithZone(zone, adding.front()), asio::detached);
     }
 }
 
-asio::awaitable<void> LoadExchange::askZone(std::string zone, std::string peer)
+asio::awaitable<void> LoadExchange::exchangeWithZone(std::string zone, std::string peer)
 {
-    auto loads = co_await ask(std::move(peer), "zone", m_context.settings.zone, m_board.zoneTotal(m_context.now()));
-    m_asking.erase(zone);
+    auto loads
+        = co_await exchangeLoads(std::move(peer), "zone", m_context.settings.zone, m_board.zoneTotal(m_context.now()));
+    m_pendingZones.erase(zone);
     if (loads)
         m_board.zoneTold(zone, std::move(*loads), m_context.now());
 }
@@ -155,7 +156,8 @@
         response.body() = encodeLoads("zone", m_context.settings.zone, m_board.zoneTotal(now));
     } else {
         m_board.nodeTold(told->node, std::move(told->loads), now);
-        m_board.nodeTold(self(), m_context.balancer.inFlight(), now); // Also if this node tells another one.
+        // Also if this node itself reports to another one.
+        m_board.nodeTold(self(), m_context.balancer.inFlight(), now);
         response.body() = encodeLoads("node", self(), m_board.othersOf(told->node, now));
     }
     return response;
--- a/src/gateway/loadexchange.h
+++ b/src/gateway/loadexchange.h
@@ -10,35 +10,36 @@
 
 namespace Kumquatpick {
 
-// Tells what this node has in flight to one node of its zone, ten times a second, and hears what all the others have.
-// In a fleet where digests take seconds to reach everybody, what the others had in flight was so old that one call in
-// five found a replica that was full; a small fleet tells it by digests alone.
+// Reports the calls in flight of this node to one node of its zone, ten times a second, and receives those of all
+// others. With digests alone, which take seconds to reach all nodes of a large fleet, one call in five was sent to a
+// replica that was full. A small fleet uses digests only.
 class LoadExchange {
 public:
     LoadExchange(GatewayContext&, Peers&);
 
     asio::awaitable<void> run();
-    // Another node's loads, or another zone's.
+    // Handles the loads of another node or zone.
     HttpResponse answer(const HttpRequest&);
-    // What the other nodes have in flight; nothing if that was not heard lately.
+    // Calls in flight of the other nodes; nothing if no recent data was received.
     const LoadsByHost* others() const;
 
     static constexpr const char* target = "/loads";
 
 private:
-    asio::awaitable<void> tell(std::string peer);
-    asio::awaitable<void> askZone(std::string zone, std::string peer);
-    asio::awaitable<std::optional<LoadsByHost>> ask(std::string peer, const char* field, std::string name, LoadsByHost);
-    void askOtherZones();
+    asio::awaitable<void> reportLoads(std::string peer);
+    asio::awaitable<void> exchangeWithZone(std::string zone, std::string peer);
+    asio::awaitable<std::optional<LoadsByHost>> exchangeLoads(
+        std::string peer, const char* field, std::string name, LoadsByHost);
+    void exchangeWithOtherZones();
     std::string self() const;
 
     GatewayContext& m_context;
     Peers& m_peers;
     LoadBoard m_board;
     LoadsByHost m_others;
-    std::optional<MonotonicTime> m_heardAt;
+    std::optional<MonotonicTime> m_othersUpdatedAt;
     std::map<std::string, MonotonicTime, std::less<>> m_failedAt; // By peer.
-    std::set<std::string, std::less<>> m_asking; // Zones.
+    std::set<std::string, std::less<>> m_pendingZones; // Zones with an exchange in progress.
 };
 
 } // namespace Kumquatpick
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -15,55 +15,57 @@
 
 namespace Kumquatpick {
 
-// The other nodes, as their digests tell. Digests are exchanged both ways in one call, some times a second.
+// The other nodes, as described by their digests. One call exchanges digests in both directions, several times a
+// second.
 class Peers {
 public:
     using FillDigest = std::function<void(PeerDigest&)>;
-    using TakeDigest = std::function<void(const PeerDigest&)>;
-    using TakeConfig = std::function<void(std::string_view text, std::string_view source)>;
+    using ApplyDigest = std::function<void(const PeerDigest&)>;
+    using ApplyConfig = std::function<void(std::string_view text, std::string_view source)>;
 
-    Peers(GatewayContext&, FillDigest, TakeDigest, TakeConfig);
+    Peers(GatewayContext&, FillDigest, ApplyDigest, ApplyConfig);
 
     asio::awaitable<void> run();
-    // Tells every peer now, for what must not wait for the next round.
-    void tellAll();
-    // A digest or a call to be relayed that came in, and the answer to it.
+    // Sends digests at once, for changes that must not wait for the next round.
+    void sendDigests();
+    // Handles a request from a peer, such as a digest or a call to be relayed.
     asio::awaitable<HttpResponse> answer(const HttpRequest&);
-    // Has a peer make a call to a backend server. Fails with Malformed if the peer itself gave no answer.
+    // Lets a peer make a call to a backend server. Fails with Malformed if the peer itself gave no valid response.
     asio::awaitable<Settled<HttpResponse>> relay(std::string peer, Address host, HttpRequest);
     std::vector<std::string> aliveAddresses() const;
-    // Records of the list of backend servers from another node of this zone, if one reads the store for this one.
+    // Reads records of the list of backend servers from another node, if one reads the store for this one.
     asio::awaitable<LogFollower::PeerRead> readHosts(uint64_t from, bool isTurnedAway);
-    // Gives the records that readHosts() of other nodes asks for.
-    using FeedHosts = std::function<std::optional<RecordBatch>(uint64_t from)>;
-    void serveHosts(FeedHosts feed) { m_feedHosts = std::move(feed); }
-    // While this holds the store does not bring configurations, so that no ask for one waits for it.
-    void learnConfigsWhile(std::function<bool()> holds) { m_learnsConfigs = std::move(holds); }
-    // When a node that reads the store for this one last heard there which configuration is the newest.
-    MonotonicTime configHeardAt() const { return m_configHeardAt; }
+    // Provides the records that other nodes request with readHosts().
+    using HostRecordSource = std::function<std::optional<RecordBatch>(uint64_t from)>;
+    void setHostRecordSource(HostRecordSource feed) { m_hostRecordSource = std::move(feed); }
+    // While the predicate is true, the store does not deliver configurations, so they are fetched from peers without
+    // waiting for it.
+    void fetchConfigsWhile(std::function<bool()> holds) { m_fetchesConfigs = std::move(holds); }
+    // When a node that reads the store for this one last confirmed there which configuration is the newest.
+    MonotonicTime configConfirmedAt() const { return m_configConfirmedAt; }
     // Whether a peer has a newer configuration than this node.
     bool knowsNewerConfig() const;
-    // Nodes that are alive and don't stop, by their addresses for digests, this one among them; of all zones if none is
-    // given.
+    // Live nodes that are not stopping, including this one, by their addresses for digests. An empty zone means all
+    // zones.
     std::vector<DutyNode> nodesOf(std::string_view zone) const;
-    // Whether this node is one of so many that take on a duty for all.
+    // Whether this node is one of the given number of nodes that perform a duty for the fleet.
     bool isChosen(std::string_view duty, size_t count) const;
-    // The nodes of a zone that take on a duty for it, as this node sees it.
+    // The nodes that perform a duty for a zone, according to this node's view.
     std::vector<std::string> chosenOf(std::string_view zone, std::string_view duty, size_t count) const;
-    // Those that any live node is of.
+    // Zones of other live nodes.
     std::vector<std::string> otherZones() const;
-    // Whether digests go to all peers in each round, so that nothing told by them is old.
-    bool callsAllEachRound() const;
-    // Whether this node has about as much of a core as any that is alive.
+    // Whether each round sends digests to all peers, so that the data in them is recent.
+    bool reachesAllEachRound() const;
+    // Whether the CPU share of this node is close to the largest of all live nodes.
     bool isStrongNode() const;
 
-    // Addresses where other nodes that are alive and take requests do so.
+    // Addresses for callers of other live nodes that take requests.
     std::vector<std::string> callerAddresses(std::string_view zone) const;
     size_t aliveCount() const;
-    // Whether this life of a node, as lifeName() gives it, told something lately.
-    bool hears(std::string_view life) const;
+    // Whether this incarnation of a node, named as by incarnationName(), recently sent a digest.
+    bool isIncarnationAlive(std::string_view life) const;
     void addKnown(const Address&);
-    // Visits the digests of peers that are alive.
+    // Visits the digests of live peers.
     template <typename Visit> void forEachAlive(Visit&& visit) const
     {
         MonotonicTime now = m_context.now();
@@ -76,46 +78,46 @@
 private:
     struct Peer {
         PeerDigest digest;
-        MonotonicTime heardAt {};
-        MonotonicTime triedAt {};
+        MonotonicTime lastDigestAt {};
+        MonotonicTime calledAt {};
         int failures = 0;
-        bool isBusy = false; // A call to it is under way.
-        int digestsWithoutPeers = 0; // Told to it since the last that named the other nodes.
+        bool isCalling = false; // A call to it is in progress.
+        int digestsWithoutPeers = 0; // Digests sent to it since the last one with the addresses of the other nodes.
     };
 
     bool isAlive(const Peer& peer) const { return isAlive(peer, m_context.now()); }
     bool isAlive(const Peer&, MonotonicTime now) const;
     Milliseconds aliveFor() const;
     DutyNode self() const;
-    std::vector<std::string> hostReaders(bool isTurnedAway) const;
+    std::vector<std::string> hostReadersToAsk(bool isTurnedAway) const;
     uint64_t configVersion() const;
-    // What is told to this peer, given by its address.
+    // Creates the digest for the peer with the given address.
     PeerDigest ownDigest(std::string_view reader, bool isAnswer);
-    void askForNewerConfig();
-    asio::awaitable<void> askForConfig(std::string address);
-    bool namesPeersTo(std::string_view reader);
-    void take(PeerDigest);
-    asio::awaitable<void> call(std::string address);
+    void fetchNewerConfig();
+    asio::awaitable<void> fetchConfig(std::string address);
+    bool includesPeersFor(std::string_view reader);
+    void applyDigest(PeerDigest);
+    asio::awaitable<void> exchangeDigests(std::string address);
     HttpResponse answerDigest(const HttpRequest&);
     HttpResponse answerConfig() const;
     HttpResponse answerHosts(const HttpRequest&);
-    // It is there, and has not read the list yet.
-    struct HasNoList { };
-    using ReaderAnswer = std::variant<RecordBatch, HasNoList, Error>;
+    // The peer responds, but has not read the list yet.
+    struct ListUnavailable { };
+    using ReaderAnswer = std::variant<RecordBatch, ListUnavailable, Error>;
     asio::awaitable<ReaderAnswer> readHostsAt(std::string address, uint64_t from);
     asio::awaitable<HttpResponse> answerRelayed(const HttpRequest&);
     void countBytes(const char* kind, std::string_view zone, size_t bytes);
 
     GatewayContext& m_context;
-    FillDigest m_fill;
-    TakeDigest m_take;
-    TakeConfig m_takeConfig;
+    FillDigest m_fillDigest;
+    ApplyDigest m_applyDigest;
+    ApplyConfig m_applyConfig;
     ConfigCatchUp m_catchUp;
     ListReaders m_listReaders;
-    FeedHosts m_feedHosts;
-    std::function<bool()> m_learnsConfigs = [] { return false; };
-    std::map<std::string, Peer, std::less<>> m_peers; // By their address for digests.
-    MonotonicTime m_configHeardAt {};
+    HostRecordSource m_hostRecordSource;
+    std::function<bool()> m_fetchesConfigs = [] { return false; };
+    std::map<std::string, Peer, std::less<>> m_peers; // By address for digests.
+    MonotonicTime m_configConfirmedAt {};
 };
 
 } // namespace Kumquatpick
--- a/tests/gateway/connectionpool_test.cpp
+++ b/tests/gateway/connectionpool_test.cpp
@@ -14,10 +14,10 @@
 namespace {
 
     constexpr Milliseconds timeout { 100 };
-    constexpr Milliseconds longAfterIt { 300 };
+    constexpr Milliseconds longPause { 300 };
     constexpr Milliseconds bodyTimeout { 3000 };
 
-    // Answers one request: the head after one pause, the body after another one.
+    // Responds to one request: sends the head after one pause and the body after another one.
     struct SlowServer {
         Milliseconds beforeHead {};
         Milliseconds beforeBody {};
@@ -64,19 +64,19 @@
 
 }
 
-// A long text over a slow link takes its time, and whoever says nothing at all is given up soon.
-TEST(ConnectionPool, OnlyTheHeadOfAnAnswerMustComeSoonIfItsBodyMayTakeLonger)
+// Guards against giving up a large body on a slow link, and against waiting long for a peer that sends nothing.
+TEST(ConnectionPool, TimeoutAppliesToHeadOnlyIfBodyTimeoutIsGiven)
 {
-    auto slowBody = exchangeWith({ {}, longAfterIt }, bodyTimeout);
+    auto slowBody = exchangeWith({ {}, longPause }, bodyTimeout);
     ASSERT_FALSE(errorOf(slowBody));
     EXPECT_EQ(std::get<HttpResponse>(slowBody).body(), "text");
-    EXPECT_EQ(errorOf(exchangeWith({ longAfterIt, {} }, bodyTimeout)), ErrorCode::Timeout);
+    EXPECT_EQ(errorOf(exchangeWith({ longPause, {} }, bodyTimeout)), ErrorCode::Timeout);
 }
 
-TEST(ConnectionPool, TheWholeAnswerMustComeSoonOtherwise)
+TEST(ConnectionPool, TimeoutAppliesToWholeResponseWithoutBodyTimeout)
 {
     EXPECT_FALSE(errorOf(exchangeWith({}, {})));
-    EXPECT_EQ(errorOf(exchangeWith({ {}, longAfterIt }, {})), ErrorCode::Timeout);
+    EXPECT_EQ(errorOf(exchangeWith({ {}, longPause }, {})), ErrorCode::Timeout);
 }
 
 } // namespace Kumquatpick
