--- a/src/fleet/balancer.cpp
+++ b/src/fleet/balancer.cpp
@@ -53,15 +53,15 @@
         std::string id = serving.hostId;
         auto known = m_targets.find(id);
         Target target = known == m_targets.end() ? Target {} : std::move(known->second);
-        target.what = std::move(serving);
-        auto remote = m_othersInFlight.find(id);
-        target.others = remote == m_othersInFlight.end() ? 0 : remote->second;
+        target.serving = std::move(serving);
+        auto remote = m_remoteInFlight.find(id);
+        target.remoteInFlight = remote == m_remoteInFlight.end() ? 0 : remote->second;
         next.emplace(std::move(id), std::move(target));
     }
     // Requests in flight at a removed target are counted until they end.
     for (auto& [id, target] : m_targets) {
-        if (target.own > 0 && !next.contains(id)) {
-            target.what.capacity = 0;
+        if (target.localInFlight > 0 && !next.contains(id)) {
+            target.serving.capacity = 0;
             next.emplace(id, std::move(target));
         }
     }
@@ -70,27 +70,27 @@
 
 void Balancer::setOthersInFlight(std::map<std::string, uint32_t, std::less<>> inFlight)
 {
-    m_othersInFlight = std::move(inFlight);
+    m_remoteInFlight = std::move(inFlight);
     for (auto& [id, target] : m_targets) {
-        auto remote = m_othersInFlight.find(id);
-        target.others = remote == m_othersInFlight.end() ? 0 : remote->second;
+        auto remote = m_remoteInFlight.find(id);
+        target.remoteInFlight = remote == m_remoteInFlight.end() ? 0 : remote->second;
     }
 }
 
 double Balancer::expectedLoad(const Target& target) const
 {
-    double load = (target.own + target.others + 1.0) / target.what.capacity;
-    double zonePenalty = target.what.zone == m_zone ? 0 : remoteZonePenalty;
+    double load = (target.localInFlight + target.remoteInFlight + 1.0) / target.serving.capacity;
+    double zonePenalty = target.serving.zone == m_zone ? 0 : remoteZonePenalty;
     return load + zonePenalty + target.failures;
 }
 
 bool Balancer::isUsable(const Target& target, const ChoiceRequest& request, MonotonicTime now) const
 {
-    bool serves = target.what.service == request.service && target.what.model == request.model;
-    bool hasRoom = target.own + target.others < target.what.capacity + request.queueLimit;
-    return serves && target.what.capacity > 0 && hasRoom && std::max(target.avoidUntil, target.fullUntil) <= now
-        && !m_backoffs.isBackedOff(target.what.hostId, now)
-        && std::ranges::find(request.avoid, target.what.hostId) == request.avoid.end();
+    bool serves = target.serving.service == request.service && target.serving.model == request.model;
+    bool hasRoom = target.localInFlight + target.remoteInFlight < target.serving.capacity + request.queueLimit;
+    return serves && target.serving.capacity > 0 && hasRoom && std::max(target.avoidUntil, target.fullUntil) <= now
+        && !m_backoffs.isBackedOff(target.serving.hostId, now)
+        && std::ranges::find(request.avoid, target.serving.hostId) == request.avoid.end();
 }
 
 std::string Balancer::choose(const ChoiceRequest& request, MonotonicTime now, Random& random)
@@ -102,7 +102,7 @@
         if (m_limits.admits(id, now))
             usable.push_back(&target);
         else
-            ++m_leftOutByLimit;
+            ++m_rateLimitExclusions;
     }
     for (size_t i = 0; i < std::min(sampledTargets, usable.size()); ++i)
         std::swap(usable[i], usable[i + random() % (usable.size() - i)]);
@@ -112,17 +112,17 @@
     std::vector<double> weights;
     double total = 0;
     for (const Target* target : usable) {
-        double free = std::max(minFreeShare, 1 + 1.0 / target->what.capacity - expectedLoad(*target));
+        double free = std::max(minFreeShare, 1 + 1.0 / target->serving.capacity - expectedLoad(*target));
         weights.push_back(free * free);
         total += free * free;
     }
     double draw = std::uniform_real_distribution<double>(0, total)(random);
     for (size_t i = 0; i + 1 < usable.size(); ++i) {
         if (draw < weights[i])
-            return usable[i]->what.hostId;
+            return usable[i]->serving.hostId;
         draw -= weights[i];
     }
-    return usable.back()->what.hostId;
+    return usable.back()->serving.hostId;
 }
 
 std::optional<MonotonicTime> Balancer::allBackedOffUntil(
@@ -130,7 +130,7 @@
 {
     std::optional<MonotonicTime> earliest;
     for (const auto& [id, target] : m_targets) {
-        bool serves = target.what.service == service && target.what.model == model && target.what.capacity > 0;
+        bool serves = target.serving.service == service && target.serving.model == model && target.serving.capacity > 0;
         if (!serves)
             continue;
         MonotonicTime end = m_backoffs.endOf(id);
@@ -147,8 +147,8 @@
     auto found = m_targets.find(hostId);
     if (found == m_targets.end())
         return;
-    ++found->second.own;
-    if (found->second.writing == 0)
+    ++found->second.localInFlight;
+    if (found->second.activeStreams == 0)
         found->second.lastArrival = now;
 }
 
@@ -159,7 +159,7 @@
         return;
     Target& target = found->second;
     double gap = std::chrono::duration<double, std::milli>(now - target.lastArrival).count();
-    if (target.writing > 0 && gap > sameStepMs)
+    if (target.activeStreams > 0 && gap > sameStepMs)
         target.gapMs += gapSmoothing * (gap - target.gapMs);
     target.lastArrival = now;
 }
@@ -174,7 +174,7 @@
 {
     auto found = m_targets.find(hostId);
     if (found != m_targets.end())
-        found->second.writing = std::max(0, found->second.writing + change);
+        found->second.activeStreams = std::max(0, found->second.activeStreams + change);
 }
 
 void Balancer::ended(std::string_view hostId, SendEnd end, MonotonicTime now)
@@ -183,7 +183,7 @@
     if (found == m_targets.end())
         return;
     Target& target = found->second;
-    target.own -= std::min(1u, target.own);
+    target.localInFlight -= std::min(1u, target.localInFlight);
     switch (end) {
     case SendEnd::Finished:
         target.failures *= failureDecay;
@@ -224,11 +224,11 @@
 {
     std::vector<std::string> result;
     for (const auto& [id, target] : m_targets) {
-        if (target.writing == 0 || target.what.model.empty())
+        if (target.activeStreams == 0 || target.serving.model.empty())
             continue;
         double limit = target.gapMs > 0 ? std::clamp(stallGaps * target.gapMs, minStallMs, maxStallMs) : initialStallMs;
         // A single stream may have been preempted by others; for two streams, both would have to be.
-        if (target.writing == 1)
+        if (target.activeStreams == 1)
             limit *= 2;
         if (std::chrono::duration<double, std::milli>(now - target.lastArrival).count() > limit)
             result.push_back(id);
@@ -240,8 +240,8 @@
 {
     std::map<std::string, uint32_t, std::less<>> result;
     for (const auto& [id, target] : m_targets) {
-        if (target.own > 0)
-            result.emplace(id, target.own);
+        if (target.localInFlight > 0)
+            result.emplace(id, target.localInFlight);
     }
     return result;
 }
@@ -249,15 +249,15 @@
 uint32_t Balancer::inFlightAt(std::string_view hostId) const
 {
     auto found = m_targets.find(hostId);
-    return found == m_targets.end() ? 0 : found->second.own + found->second.others;
+    return found == m_targets.end() ? 0 : found->second.localInFlight + found->second.remoteInFlight;
 }
 
 uint32_t Balancer::inFlightOf(std::string_view service, std::string_view model) const
 {
     uint32_t total = 0;
     for (const auto& [id, target] : m_targets) {
-        if (target.what.service == service && target.what.model == model)
-            total += target.own + target.others;
+        if (target.serving.service == service && target.serving.model == model)
+            total += target.localInFlight + target.remoteInFlight;
     }
     return total;
 }
--- a/src/fleet/balancer.h
+++ b/src/fleet/balancer.h
@@ -75,7 +75,7 @@
     std::optional<MonotonicTime> allBackedOffUntil(
         std::string_view service, std::string_view model, MonotonicTime now) const;
     // How often a target was excluded from a choice because of its rate limit alone.
-    uint64_t leftOutByLimit() const { return m_leftOutByLimit; }
+    uint64_t leftOutByLimit() const { return m_rateLimitExclusions; }
 
     // Avoids a target until this time because another node reported it as stalled.
     void suspect(std::string_view hostId, MonotonicTime until);
@@ -92,10 +92,10 @@
 
 private:
     struct Target {
-        ServingTarget what;
-        uint32_t own = 0;
-        uint32_t others = 0;
-        int writing = 0;
+        ServingTarget serving;
+        uint32_t localInFlight = 0;
+        uint32_t remoteInFlight = 0;
+        int activeStreams = 0;
         double gapMs = 0; // Mean time between arrivals of data while streams are active; 0 until known.
         double failures = 0; // Decays with successes.
         int refusals = 0; // Consecutive, because the target was full.
@@ -109,10 +109,10 @@
 
     std::string m_zone;
     std::map<std::string, Target, std::less<>> m_targets;
-    std::map<std::string, uint32_t, std::less<>> m_othersInFlight;
+    std::map<std::string, uint32_t, std::less<>> m_remoteInFlight;
     RateLimits m_limits;
     Backoffs m_backoffs;
-    uint64_t m_leftOutByLimit = 0;
+    uint64_t m_rateLimitExclusions = 0;
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/configcatchup.h
+++ b/src/fleet/configcatchup.h
@@ -34,18 +34,18 @@
     struct Holder {
         uint64_t version = 0;
         bool isOfOwnZone = false;
-        MonotonicTime heardAt {};
+        MonotonicTime reportedAt {};
     };
 
-    void noteOwn(uint64_t version, MonotonicTime now);
+    void updateLocalVersion(uint64_t version, MonotonicTime now);
 
     std::map<std::string, Holder, std::less<>> m_holders; // By peer address.
     uint64_t m_newest = 0; // Newest version reported by a peer.
-    uint64_t m_own = 0; // This node's version as of the last beginAsk().
+    uint64_t m_localVersion = 0; // This node's version as of the last beginAsk().
     MonotonicTime m_behindSince {}; // Last report of a newer version, or last update that was not the newest.
-    std::optional<MonotonicTime> m_askedAt;
-    std::string m_lastAsked;
-    bool m_isAsking = false;
+    std::optional<MonotonicTime> m_lastFetchAt;
+    std::string m_lastFetchPeer;
+    bool m_isFetching = false;
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/hosttable.cpp
+++ b/src/fleet/hosttable.cpp
@@ -20,18 +20,18 @@
 bool HostTable::listed(Host host, MonotonicTime at)
 {
     m_listReadAt = std::max(m_listReadAt, at);
-    if (isEarlierLife(host))
+    if (isEarlierIncarnation(host))
         return false;
-    std::string& newest = m_newestLife[std::string(hostName(host.id))];
+    std::string& newest = m_newestIncarnation[std::string(hostName(host.id))];
     if (!newest.empty() && newest != host.id)
         erase(newest);
-    m_lapsed.erase(newest);
+    m_recentlyUnlisted.erase(newest);
     newest = host.id;
     m_firstSeen.try_emplace(host.id, m_firstSeen.size());
     bool isKnown = m_hosts.contains(host.id);
-    if (!isKnown && !dropEarlierLife(host))
+    if (!isKnown && !dropEarlierIncarnation(host))
         return false;
-    Sources& sources = m_sources[host.id];
+    StatusSources& sources = m_sources[host.id];
     bool isChanged = !isKnown || !(sources.listed == host);
     if (isChanged)
         sources.listed = host;
@@ -45,7 +45,7 @@
     else
         sources.reported.reset();
     keepLastModel(sources, host.status);
-    host.draining = host.draining || m_saidDraining.contains(host.id);
+    host.draining = host.draining || m_drainingHosts.contains(host.id);
     Host& effective = m_hosts[host.id];
     if (!(effective == host)) {
         effective = std::move(host);
@@ -55,7 +55,7 @@
 }
 
 // A host reports its model only while it is a member of a replica.
-void HostTable::keepLastModel(Sources& sources, HostStatus& status)
+void HostTable::keepLastModel(StatusSources& sources, HostStatus& status)
 {
     if (status.membership && !status.model.empty())
         sources.lastModel = status.model;
@@ -64,15 +64,15 @@
 
 // A late entry of an incarnation that has ended. An entry without a start time counts as one if an incarnation of the
 // same name with a start time is known.
-bool HostTable::isEarlierLife(const Host& host) const
+bool HostTable::isEarlierIncarnation(const Host& host) const
 {
-    auto newest = m_newestLife.find(hostName(host.id));
-    return newest != m_newestLife.end() && bornOf(host.id) < bornOf(newest->second);
+    auto newest = m_newestIncarnation.find(hostName(host.id));
+    return newest != m_newestIncarnation.end() && bornOf(host.id) < bornOf(newest->second);
 }
 
 // A restarted host has the address of its earlier incarnation, whose entry is removed only some seconds later; a late
 // heartbeat may even restore it. Returns false if the given host is the earlier incarnation.
-bool HostTable::dropEarlierLife(const Host& host)
+bool HostTable::dropEarlierIncarnation(const Host& host)
 {
     auto other = std::ranges::find_if(m_hosts, [&](const auto& entry) { return entry.second.address == host.address; });
     if (other == m_hosts.end())
@@ -91,13 +91,13 @@
     const auto& membership = found->second.status.membership;
     bool isMember = membership && membership->rank > 0 && !found->second.draining;
     if (isMember)
-        m_lapsed.insert_or_assign(found->first, Lapsed { found->second, m_listReadAt });
+        m_recentlyUnlisted.insert_or_assign(found->first, UnlistedHost { found->second, m_listReadAt });
     erase(id);
 }
 
 bool HostTable::saidDraining(std::string_view id)
 {
-    if (!m_saidDraining.emplace(id).second)
+    if (!m_drainingHosts.emplace(id).second)
         return false;
     auto found = m_hosts.find(id);
     if (found != m_hosts.end() && !found->second.draining) {
@@ -121,12 +121,13 @@
 {
     auto found = m_hosts.find(id);
     if (found == m_hosts.end())
-        return reportedAfterLapse(id, status);
-    Sources& sources = m_sources.find(id)->second;
+        return applyReportOfUnlisted(id, status);
+    StatusSources& sources = m_sources.find(id)->second;
     uint64_t orders = status.ordersAccepted.value_or(0);
-    if ((sources.reported && at <= sources.reportedAt) || (sources.mostOrders && orders < *sources.mostOrders))
+    if ((sources.reported && at <= sources.reportedAt)
+        || (sources.maxOrdersAccepted && orders < *sources.maxOrdersAccepted))
         return;
-    sources.mostOrders = orders;
+    sources.maxOrdersAccepted = orders;
     if (status.domain.empty())
         status.domain = found->second.status.domain;
     keepLastModel(sources, status);
@@ -139,22 +140,22 @@
 }
 
 // An unlisted member counts only for its replica until it is listed again, and no longer once it reports that it left.
-void HostTable::reportedAfterLapse(std::string_view id, const HostStatus& status)
+void HostTable::applyReportOfUnlisted(std::string_view id, const HostStatus& status)
 {
-    auto unlisted = m_lapsed.find(id);
-    if (unlisted == m_lapsed.end())
+    auto unlisted = m_recentlyUnlisted.find(id);
+    if (unlisted == m_recentlyUnlisted.end())
         return;
     const Membership& membership = *unlisted->second.host.status.membership;
     if (status.membership && status.membership->isOf(membership.replica, membership.epoch))
         return;
-    m_lapsed.erase(unlisted);
+    m_recentlyUnlisted.erase(unlisted);
     ++m_version;
 }
 
 void HostTable::expireReports(MonotonicTime now)
 {
-    size_t expired
-        = std::erase_if(m_lapsed, [&](const auto& entry) { return now - entry.second.at > unlistedRetention; });
+    size_t expired = std::erase_if(
+        m_recentlyUnlisted, [&](const auto& entry) { return now - entry.second.at > unlistedRetention; });
     m_version += expired > 0 ? 1 : 0;
     for (auto& [id, sources] : m_sources) {
         bool isDue = sources.reported && now - sources.reportedAt > reportLifetime && m_listReadAt > sources.reportedAt
@@ -171,7 +172,7 @@
 std::optional<MonotonicTime> HostTable::reportedAt(std::string_view id) const
 {
     auto found = m_sources.find(id);
-    bool hasReported = found != m_sources.end() && found->second.mostOrders;
+    bool hasReported = found != m_sources.end() && found->second.maxOrdersAccepted;
     return hasReported ? std::optional(found->second.reportedAt) : std::nullopt;
 }
 
@@ -189,13 +190,13 @@
 std::optional<uint64_t> HostTable::ordersAccepted(std::string_view id) const
 {
     auto found = m_sources.find(id);
-    return found == m_sources.end() ? std::nullopt : found->second.mostOrders;
+    return found == m_sources.end() ? std::nullopt : found->second.maxOrdersAccepted;
 }
 
 const Host* HostTable::findByName(std::string_view name) const
 {
-    auto newest = m_newestLife.find(name);
-    return newest == m_newestLife.end() ? nullptr : find(newest->second);
+    auto newest = m_newestIncarnation.find(name);
+    return newest == m_newestIncarnation.end() ? nullptr : find(newest->second);
 }
 
 const Host* HostTable::find(std::string_view id) const
@@ -221,7 +222,7 @@
         if (membership.rank == 0)
             view.head = &host;
     }
-    for (const auto& [id, unlisted] : m_lapsed) {
+    for (const auto& [id, unlisted] : m_recentlyUnlisted) {
         const Membership& membership = *unlisted.host.status.membership;
         auto view = views.find({ membership.replica, membership.epoch });
         if (view != views.end())
--- a/src/fleet/hosttable.h
+++ b/src/fleet/hosttable.h
@@ -63,32 +63,32 @@
     uint64_t version() const { return m_version; }
 
 private:
-    struct Sources {
+    struct StatusSources {
         Host listed;
         std::optional<HostStatus> reported;
         MonotonicTime reportedAt {}; // Time of the latest report, whether or not it is still in effect.
         // Over all reports of this incarnation. The count only grows, so a report with a lower count was delayed, for
         // example by a partition for as long as it lasts.
-        std::optional<uint64_t> mostOrders;
+        std::optional<uint64_t> maxOrdersAccepted;
         std::string lastModel;
     };
 
-    bool isEarlierLife(const Host&) const;
-    bool dropEarlierLife(const Host&);
+    bool isEarlierIncarnation(const Host&) const;
+    bool dropEarlierIncarnation(const Host&);
     void erase(std::string_view id);
-    void reportedAfterLapse(std::string_view id, const HostStatus&);
-    static void keepLastModel(Sources&, HostStatus&);
+    void applyReportOfUnlisted(std::string_view id, const HostStatus&);
+    static void keepLastModel(StatusSources&, HostStatus&);
 
     std::map<std::string, Host, std::less<>> m_hosts; // With the status in effect.
-    std::map<std::string, Sources, std::less<>> m_sources;
-    struct Lapsed {
+    std::map<std::string, StatusSources, std::less<>> m_sources;
+    struct UnlistedHost {
         Host host;
         MonotonicTime at;
     };
-    std::map<std::string, Lapsed, std::less<>> m_lapsed; // By host incarnation; heads are not kept.
+    std::map<std::string, UnlistedHost, std::less<>> m_recentlyUnlisted; // By host incarnation; heads are not kept.
     std::map<std::string, uint64_t, std::less<>> m_firstSeen; // Order of appearance; small, never pruned.
-    std::map<std::string, std::string, std::less<>> m_newestLife; // Incarnation id by host name; never pruned.
-    std::set<std::string, std::less<>> m_saidDraining; // Incarnation ids; small, never pruned.
+    std::map<std::string, std::string, std::less<>> m_newestIncarnation; // Incarnation id by host name; never pruned.
+    std::set<std::string, std::less<>> m_drainingHosts; // Incarnation ids; small, never pruned.
     MonotonicTime m_listReadAt {};
     uint64_t m_version = 0;
 };
--- a/src/fleet/loadboard.cpp
+++ b/src/fleet/loadboard.cpp
@@ -14,12 +14,12 @@
 void LoadBoard::nodeTold(std::string_view node, LoadsByHost loads, MonotonicTime now)
 {
     std::erase_if(m_nodes, [&](const auto& entry) { return now - entry.second.at > reportLifetime; });
-    m_nodes.insert_or_assign(std::string(node), Told { std::move(loads), now });
+    m_nodes.insert_or_assign(std::string(node), LoadReport { std::move(loads), now });
 }
 
 void LoadBoard::zoneTold(std::string_view zone, LoadsByHost loads, MonotonicTime now)
 {
-    m_zones.insert_or_assign(std::string(zone), Told { std::move(loads), now });
+    m_zones.insert_or_assign(std::string(zone), LoadReport { std::move(loads), now });
 }
 
 bool LoadBoard::isUsed(MonotonicTime now) const
@@ -33,7 +33,8 @@
     return found != m_zones.end() && now - found->second.at < within;
 }
 
-void LoadBoard::addUp(const ToldBy& reports, std::string_view except, MonotonicTime now, LoadsByHost& total)
+void LoadBoard::addRecentLoads(
+    const ReportsBySender& reports, std::string_view except, MonotonicTime now, LoadsByHost& total)
 {
     for (const auto& [name, report] : reports) {
         if (name == except || now - report.at > reportLifetime)
@@ -46,15 +47,15 @@
 LoadsByHost LoadBoard::zoneTotal(MonotonicTime now) const
 {
     LoadsByHost total;
-    addUp(m_nodes, {}, now, total);
+    addRecentLoads(m_nodes, {}, now, total);
     return total;
 }
 
 LoadsByHost LoadBoard::othersOf(std::string_view node, MonotonicTime now) const
 {
     LoadsByHost total;
-    addUp(m_nodes, node, now, total);
-    addUp(m_zones, {}, now, total);
+    addRecentLoads(m_nodes, node, now, total);
+    addRecentLoads(m_zones, {}, now, total);
     return total;
 }
 
--- a/src/fleet/loadboard.h
+++ b/src/fleet/loadboard.h
@@ -29,16 +29,16 @@
     LoadsByHost othersOf(std::string_view node, MonotonicTime now) const;
 
 private:
-    struct Told {
+    struct LoadReport {
         LoadsByHost loads;
         MonotonicTime at {};
     };
-    using ToldBy = std::map<std::string, Told, std::less<>>;
+    using ReportsBySender = std::map<std::string, LoadReport, std::less<>>;
 
-    static void addUp(const ToldBy&, std::string_view except, MonotonicTime now, LoadsByHost& total);
+    static void addRecentLoads(const ReportsBySender&, std::string_view except, MonotonicTime now, LoadsByHost& total);
 
-    ToldBy m_nodes;
-    ToldBy m_zones;
+    ReportsBySender m_nodes;
+    ReportsBySender m_zones;
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/ratelimits.cpp
+++ b/src/fleet/ratelimits.cpp
@@ -63,9 +63,9 @@
     return std::min(filled, maxTokens(limit.share));
 }
 
-bool RateLimits::take(Limit& limit, std::optional<double> perSecond, MonotonicTime reportedAt)
+bool RateLimits::updateLimit(Limit& limit, std::optional<double> perSecond, MonotonicTime reportedAt)
 {
-    limit.saidAt = std::max(limit.saidAt, reportedAt);
+    limit.announcedAt = std::max(limit.announcedAt, reportedAt);
     if (limit.perSecond == perSecond)
         return false;
     bool isStillLimited = limit.perSecond && perSecond && *limit.perSecond > 0;
@@ -73,7 +73,7 @@
         limit.share *= *perSecond / *limit.perSecond; // Until the next deal().
     } else {
         limit.share = limit.tokens = 0;
-        limit.isDealt = false;
+        limit.hasShare = false;
     }
     limit.perSecond = perSecond;
     return true;
@@ -86,10 +86,10 @@
     if (perSecond) {
         if (found == m_limits.end())
             found = m_limits.try_emplace(std::string(hostId)).first;
-        return take(found->second, perSecond, now);
+        return updateLimit(found->second, perSecond, now);
     }
-    bool isLifted = found != m_limits.end() && found->second.perSecond && sentAt > found->second.saidAt;
-    return isLifted && take(found->second, std::nullopt, sentAt);
+    bool isLifted = found != m_limits.end() && found->second.perSecond && sentAt > found->second.announcedAt;
+    return isLifted && updateLimit(found->second, std::nullopt, sentAt);
 }
 
 bool RateLimits::told(const NamedLimit& remote, MonotonicTime now)
@@ -101,15 +101,15 @@
             return false;
         found = m_limits.try_emplace(remote.hostId).first;
     }
-    return reportedAt > found->second.saidAt && take(found->second, remote.perSecond, reportedAt);
+    return reportedAt > found->second.announcedAt && updateLimit(found->second, remote.perSecond, reportedAt);
 }
 
 std::vector<NamedLimit> RateLimits::news(MonotonicTime now) const
 {
     std::vector<NamedLimit> result;
     for (const auto& [hostId, limit] : m_limits) {
-        if (now - limit.saidAt <= gossipDuration)
-            result.push_back({ hostId, limit.perSecond, std::chrono::ceil<Milliseconds>(now - limit.saidAt) });
+        if (now - limit.announcedAt <= gossipDuration)
+            result.push_back({ hostId, limit.perSecond, std::chrono::ceil<Milliseconds>(now - limit.announcedAt) });
     }
     std::ranges::sort(result, {}, &NamedLimit::age);
     result.resize(std::min(result.size(), maxGossipedLimits));
@@ -133,7 +133,7 @@
     limit->second.filledAt = now;
 }
 
-double RateLimits::sentLately(std::string_view hostId, MonotonicTime now)
+double RateLimits::recentSendCount(std::string_view hostId, MonotonicTime now)
 {
     auto found = m_sends.find(hostId);
     if (found == m_sends.end())
@@ -151,7 +151,7 @@
 void RateLimits::deal(std::span<const DutyNode> nodes, std::string_view self, MonotonicTime now)
 {
     std::erase_if(m_limits, [&](const auto& entry) {
-        return now - entry.second.saidAt > (entry.second.perSecond ? staleRetention : liftedRetention);
+        return now - entry.second.announcedAt > (entry.second.perSecond ? staleRetention : liftedRetention);
     });
     std::erase_if(m_sends, [&](const auto& entry) {
         return bucketOf(now) - entry.second.newest >= static_cast<int64_t>(RecentSends::buckets);
@@ -164,12 +164,12 @@
         double share = isSharer ? *limit.perSecond / static_cast<double>(sharers.size()) : 0;
         limit.tokens = tokensAt(limit, now);
         limit.filledAt = now;
-        if (isSharer && !limit.isDealt)
-            limit.tokens = initialTokens(sentLately(hostId, now), nodes.size(), sharers.size(), share);
+        if (isSharer && !limit.hasShare)
+            limit.tokens = initialTokens(recentSendCount(hostId, now), nodes.size(), sharers.size(), share);
         else if (limit.share == 0 || !isSharer)
             limit.tokens = std::min(limit.tokens, 0.0);
         limit.share = share;
-        limit.isDealt = true;
+        limit.hasShare = true;
     }
 }
 
--- a/src/fleet/ratelimits.h
+++ b/src/fleet/ratelimits.h
@@ -57,8 +57,8 @@
 private:
     struct Limit {
         std::optional<double> perSecond; // nullopt once it was lifted.
-        MonotonicTime saidAt {};
-        bool isDealt = false;
+        MonotonicTime announcedAt {};
+        bool hasShare = false;
         double share = 0; // Requests per second of this node.
         double tokens = 0; // Requests that this node may send, as of filledAt; negative while in debt.
         MonotonicTime filledAt {};
@@ -74,8 +74,8 @@
     };
 
     static double tokensAt(const Limit&, MonotonicTime now);
-    bool take(Limit&, std::optional<double> perSecond, MonotonicTime saidAt);
-    double sentLately(std::string_view hostId, MonotonicTime now);
+    bool updateLimit(Limit&, std::optional<double> perSecond, MonotonicTime announcedAt);
+    double recentSendCount(std::string_view hostId, MonotonicTime now);
 
     std::map<std::string, Limit, std::less<>> m_limits; // By host.
     std::map<std::string, RecentSends, std::less<>> m_sends; // By host, including servers without a limit.
