--- a/tests/platform/testnode.h
+++ b/tests/platform/testnode.h
@@ -4,9 +4,11 @@
 #include "platform/platformcodec.h"
 
 #include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
 #include <memory>
 #include <string>
 #include <thread>
+#include <vector>
 
 namespace Kumquatpick {
 
@@ -27,9 +29,12 @@
     Address peers() const { return m_settings.peers; }
 
 private:
+    Address reserveAddress();
+
     GatewaySettings& m_settings; // Never destroyed, as the gateway refers to it.
     PlatformCodec& m_codec;
     asio::io_context m_io;
+    std::vector<asio::ip::tcp::acceptor> m_reservations; // Keep the node's ports from being given to other sockets.
     Gateway* m_gateway; // Never destroyed, as suspended coroutines refer to it until the event loop is gone.
     std::atomic<bool> m_hasEnded { false };
     std::thread m_thread;
