--- a/src/node/bench_membership.cpp
+++ b/src/node/bench_membership.cpp
@@ -47,7 +47,7 @@
 
     using Row = std::vector<std::string>;
 
-    // Runs are independent; a few at a time leave the machine to others.
+    // The runs are independent. The limit leaves CPU time for other processes on the machine.
     constexpr int runsAtOnce = 4;
 
     std::vector<Row> inParallel(const std::vector<std::function<Row()>>& runs)
@@ -58,7 +58,7 @@
         return rows;
     }
 
-    // Kilobytes that a node sends a second, on average and at the busiest node.
+    // Kilobytes per second sent by a node: the average over all nodes and the maximum.
     struct Traffic {
         double mean = 0;
         double most = 0;
@@ -82,7 +82,7 @@
         return traffic;
     }
 
-    // Least squares: by how many bytes a second a node's traffic grows with each further node.
+    // Slope of the least-squares line through the points.
     double slope(const std::vector<std::pair<double, double>>& points)
     {
         double count = static_cast<double>(points.size());
@@ -102,7 +102,7 @@
 
     BenchTable trafficTable(uint64_t seed, std::span<const size_t> sizes)
     {
-        BenchTable table { "membership: kilobytes sent a second by each node",
+        BenchTable table { "membership: kilobytes per second sent by each node",
             { "nodes", "zones", "way", "mean", "busiest" }, {} };
         std::vector<std::function<Row()>> runs;
         std::vector<std::pair<double, double>> points(sizes.size());
@@ -121,8 +121,7 @@
             }
         }
         table.rows = inParallel(runs);
-        table.rows.push_back(
-            { "", "", "gossip, bytes for each further node", fmt::format("{:.1f}", slope(points)), "" });
+        table.rows.push_back({ "", "", "gossip, bytes per additional node", fmt::format("{:.1f}", slope(points)), "" });
         return table;
     }
 
@@ -140,7 +139,7 @@
         { "10 s pauses", 0, 0, true },
     };
 
-    // One node in twenty dies; with pauses, as many others stand still for ten seconds first.
+    // Kills one node in twenty. A scenario with pauses first suspends as many other nodes for ten seconds.
     void runScenario(MembershipSimulation& simulation, const Scenario& scenario, size_t victims)
     {
         simulation.run(settleTime);
@@ -183,9 +182,9 @@
 
     BenchTable detectionTable(uint64_t seed, std::span<const size_t> sizes)
     {
-        BenchTable table { "membership: detection of dead nodes, seconds, each observer counted",
+        BenchTable table { "membership: seconds until a dead node is detected, one sample per observer",
             { "nodes", "scenario", "way", "p50", "p99", "missed", "false suspicions", "false verdicts", "on paused",
-                "on just woken" },
+                "on resumed" },
             {} };
         std::vector<std::function<Row()>> runs;
         for (const Scenario& scenario : scenarios) {
@@ -226,8 +225,8 @@
         return seconds;
     }
 
-    // A reader's long poll is waiting at the log, or on its way there or back; a record that comes meanwhile
-    // is read by the next poll. A model, as the log itself is not simulated here.
+    // Models the delay of a log reader, as the simulation does not include the log. When a record is published, the
+    // reader's long poll is either waiting at the log or in transit. In the second case the next poll reads the record.
     std::vector<double> spreadByLog(const SimulationOptions& options)
     {
         constexpr double nearLatency = 0.0018;
@@ -262,7 +261,7 @@
 
     BenchTable spreadTable(uint64_t seed, std::span<const size_t> sizes)
     {
-        BenchTable table { "membership: seconds until another node has an accepted text",
+        BenchTable table { "membership: seconds until another node has a newly accepted configuration",
             { "nodes", "way", "p50", "p99", "last", "last in rounds", "unreached" }, {} };
         std::vector<std::function<Row()>> runs;
         for (size_t nodes : sizes) {
--- a/src/node/clusterview.cpp
+++ b/src/node/clusterview.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-    // Opening, answer with what we lack, and a second pair where members were found to differ.
+    // Each leg is a message and its reply. The first leg compares summaries. Further legs transfer digests, and compare
+    // the member lists of zones whose member sets differ.
     constexpr int maxExchangeLegs = 3;
 
     std::string_view name(Liveness liveness)
@@ -244,7 +245,7 @@
     for (int leg = 0; leg < maxExchangeLegs && !message.empty(); ++leg) {
         auto reply
             = settle([&] { return m_transport->exchange(peer.peerAddress, message, m_settings.exchangeTimeout); });
-        // A peer that does not answer is the detector's business.
+        // The failure detector handles peers that do not answer.
         if (std::holds_alternative<Error>(reply))
             return;
         message = answer(std::get<GossipMessage>(reply));
@@ -294,7 +295,7 @@
     m_core->detector.probed(m_core->gossip.table(), result, monotonicNow());
 }
 
-// Helpers are asked all at once and only if the target itself does not answer, which is rare.
+// Sends indirect probes through all helpers in parallel, only if the direct probe fails.
 ProbeResult ClusterView::carryOut(const ProbePlan& plan)
 {
     ProbeResult result;
--- a/src/node/clusterview.h
+++ b/src/node/clusterview.h
@@ -16,23 +16,26 @@
 
 namespace Kumquatpick {
 
-// What the daemon lends to the cluster view; each is called on one of its two threads with no lock held.
+// Callbacks that the daemon supplies. They are called on the view's two threads, with no lock held.
 struct ClusterHooks {
-    std::function<OwnReport()> ownReport; // All but the suspects, which are known here.
-    std::function<void(const AcceptedText&)> adoptText; // A peer's newer text; the log may be down.
-    std::function<void()> roundDone; // After each gossip round: the moment to read usage and suspicions.
-    std::function<void(const NodeId&, Liveness)> nodeLost; // Dead or Gone.
+    std::function<OwnReport()> ownReport; // The view fills in the suspects itself.
+    // Receives a newer accepted configuration from a peer, which works also while the log is unavailable.
+    std::function<void(const AcceptedText&)> adoptText;
+    std::function<void()> roundDone; // Called after each gossip round, when usage and suspicions are up to date.
+    std::function<void(const NodeId&, Liveness)> nodeLost; // The node became Dead or Gone.
 };
 
-// The other nodes as this one knows them: two threads, one that gossips and one that probes. Thread-safe.
+// This node's view of the cluster's membership. One thread runs gossip, another one probes nodes. Thread-safe.
 class ClusterView {
 public:
     struct Settings {
         GossipOptions gossip;
         DetectorOptions detector;
         Milliseconds exchangeTimeout { 1000 };
-        Milliseconds listGrace { 60'000 }; // A node absent from the membership list for so long is gone.
-        Milliseconds strangerGrace { 15'000 }; // A node that nobody has spoken of since our start for so long is dead.
+        // A node that is absent from the membership list for this long counts as Gone.
+        Milliseconds listGrace { 60'000 };
+        // A node that has appeared in no digest by this long after the start counts as Dead.
+        Milliseconds strangerGrace { 15'000 };
     };
 
     ClusterView(ClusterHooks, Settings, Random::result_type seed);
@@ -43,30 +46,31 @@
     // The transport must outlive stop().
     void start(NodeTransport&);
     void stop();
-    // A round now instead of at the end of the period: a new text was accepted, or a stop has begun.
+    // Starts a gossip round at once, so that a newly accepted configuration or a planned stop spreads without delay.
     void nudge();
 
-    // For PeerHandlers::exchangeDigests.
+    // Handles a gossip message from a peer; the implementation of PeerHandlers::exchangeDigests.
     GossipMessage answer(const GossipMessage&);
-    // Entry nodes of the membership list, each time it was read; incarnation 0 where the list gives none.
+    // Sets the nodes of the membership list. To be called after each read of the list. The incarnation is 0 where
+    // the list gives none.
     void setListed(std::vector<NodeInfo>);
 
-    // Digests of all nodes not thought dead, this one included.
+    // Digests of all nodes that are not Dead or Gone, including this node.
     std::vector<NodeDigest> digests() const;
-    // Nodes to choose partners from: not dead and not stopping, this one included. Suspects stay in until more than
-    // one observer's word has stood for long enough, as moving slots costs work.
+    // Nodes that may become slot partners: neither dead nor stopping, including this node. A suspect remains eligible
+    // until it is declared dead, as moving its slots is expensive.
     std::vector<NodeInfo> liveNodes() const;
-    // Nodes to point callers at: neither dead, suspect nor stopping, this one included.
+    // Nodes to which callers may be directed: neither dead, suspect nor stopping, including this node.
     std::vector<NodeDigest> entryNodes() const;
     Liveness liveness(const NodeId&) const;
-    // Those of the given incarnations that can never act again.
+    // Returns those of the given incarnations that are proven to have ended for good.
     std::vector<NodeId> provenGone(std::span<const NodeId>);
-    // Asks at the address whether a newer incarnation of that name runs there. Blocks.
+    // Whether a newer incarnation with the same name answers at the node's address. Blocks.
     bool proveGone(const NodeInfo&, Milliseconds timeout);
 
     std::vector<TeamUsage> othersUsage() const;
     std::vector<SuspicionCount> suspicions() const;
-    // A newer incarnation of this node's name is about: this process must not go on.
+    // Whether a newer incarnation with this node's name has appeared in gossip. This process must then stop.
     bool replaced() const;
 
 private:
@@ -79,7 +83,7 @@
     void fetchNewerText(Offset have);
     void probeRound();
     ProbeResult carryOut(const ProbePlan&);
-    // Waits out a period; false if it is time to stop.
+    // Waits for the period to end. Returns false if the view is stopping.
     bool pause(Milliseconds, bool wakeOnNudge);
 
     const ClusterHooks m_hooks;
--- a/src/node/codec.cpp
+++ b/src/node/codec.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // A gossip message of 1,000 nodes unpacks to less than a quarter of this.
+    // Limit on an unpacked gossip message. A message with 1,000 nodes takes less than a quarter of it.
     constexpr uint64_t maxGossipWords = 1 << 18;
 
     std::string text(capnp::Text::Reader reader) { return { reader.begin(), reader.size() }; }
@@ -23,7 +23,7 @@
 
     Error malformed(std::string detail) { return { ErrorCode::Malformed, Step::Parse, {}, std::move(detail) }; }
 
-    // An address left out stays empty; a present one must be an IP number.
+    // An absent address is read as an empty one. A present one must be a numeric IP address with a port.
     Result<Address> readAddress(capnp::Text::Reader reader)
     {
         if (reader.size() == 0)
@@ -119,7 +119,7 @@
             if (theirs == answer)
                 return ours;
         }
-        return fail(malformed("unknown permit answer"));
+        return fail(malformed("unknown permit answer in slot message"));
     }
 
     struct SlotMessageWriter {
@@ -229,7 +229,7 @@
         return { in.getSlot(), in.getEpoch(), { text(in.getPartnerName()), in.getPartnerIncarnation() }, in.getPart() };
     }
 
-    // Names repeat in every usage entry and zone; each is sent once a message.
+    // Names of zones, services and teams of one message. Each name is sent once, and entries refer to it by index.
     class NameTable {
     public:
         uint32_t index(const std::string& name)
@@ -252,7 +252,7 @@
     Result<std::string> nameAt(NameList names, uint32_t index)
     {
         if (index >= names.size())
-            return fail(malformed("name index out of range"));
+            return fail(malformed("gossip message refers to a name index outside its name table"));
         return text(names[index]);
     }
 
@@ -466,7 +466,7 @@
     case Rpc::SlotMessage::COPY_REPLY:
         return SlotMessage(readCopyReply(in.getCopyReply()));
     }
-    return fail(malformed("unknown slot message"));
+    return fail(malformed("unknown type of slot message"));
 }
 
 std::vector<unsigned char> encode(const GossipMessage& message)
@@ -479,7 +479,7 @@
     return { bytes.begin(), bytes.end() };
 }
 
-// Whatever the library throws at bytes that are no message becomes an error here, as the bytes came from a peer.
+// The bytes come from a peer and may be invalid, so exceptions that Cap'n Proto throws are returned as errors.
 Result<GossipMessage> decodeGossip(std::span<const unsigned char> bytes)
 {
     capnp::ReaderOptions options;
--- a/src/node/codec.h
+++ b/src/node/codec.h
@@ -11,8 +11,8 @@
 
 namespace Kumquatpick {
 
-// Between our structs and their form on the wire. Reading fails with Malformed; text that breaks
-// Cap'n Proto's own rules throws kj::Exception, which ends the call.
+// Conversion between C++ structs and Cap'n Proto messages. Reading fails with Malformed if a value is invalid. Input
+// that violates Cap'n Proto's encoding throws kj::Exception, which fails the RPC call.
 
 void write(Rpc::NodeInfo::Builder, const NodeInfo&);
 Result<NodeInfo> read(Rpc::NodeInfo::Reader);
@@ -20,7 +20,7 @@
 void write(Rpc::SlotMessage::Builder, const SlotMessage&);
 Result<SlotMessage> read(Rpc::SlotMessage::Reader);
 
-// Packed, as digests are mostly small numbers.
+// Uses Cap'n Proto's packed encoding, as digests consist mostly of small numbers.
 std::vector<unsigned char> encode(const GossipMessage&);
 Result<GossipMessage> decodeGossip(std::span<const unsigned char>);
 
--- a/src/node/detector.cpp
+++ b/src/node/detector.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-    // A tick this many periods late means that this process itself stood still.
+    // An interval of at least this many periods between ticks means that this process was paused.
     constexpr int pausePeriods = 3;
-    // For so many periods after that, failed probes say more about us than about others.
+    // Failed probes are ignored for this many periods after a pause, as this node may have caused the failures.
     constexpr int distrustPeriods = 2;
     constexpr size_t wordsForDeath = 2;
     constexpr size_t maxLostRemembered = 8192;
-    // Others that count our word need it until they have reached their own verdict.
+    // A dead node stays in this node's published suspects for this long, so that other nodes can count this
+    // observer until they reach their own verdict.
     constexpr std::chrono::seconds mentionTime { 30 };
 
     template <typename Element> void shuffle(std::vector<Element>& elements, Random& random)
@@ -40,7 +41,7 @@
 
 std::optional<ProbePlan> Detector::nextProbe(const DigestTable& table, Random& random)
 {
-    // Every other probe goes to a node that we suspect, if any, so that a wrong suspicion ends soon.
+    // Every second probe goes to a node that this node suspects, if any, so that a wrong suspicion is refuted soon.
     m_reprobe = !m_reprobe;
     std::vector<uint64_t> ours;
     for (const auto& [incarnation, suspicion] : m_suspicions) {
@@ -82,7 +83,7 @@
     }
     if (distrustsItself(now) || result.began <= m_pauseNoticed)
         return;
-    // None of those asked answers either: the fault is probably at this end.
+    // If none of the helpers answers either, the fault is probably on this node.
     if (result.helpersMissed == 0 && result.helpersSilent > 0) {
         adjustHealth(1);
         return;
@@ -123,7 +124,8 @@
 
 std::vector<uint64_t> Detector::takeLost() { return std::exchange(m_newlyLost, {}); }
 
-// After a pause of this process, old silence proves nothing: own suspicions go, others' clocks start anew.
+// Answers may have been missed during a pause of this process. This node's own suspicions are therefore dropped, and
+// the time-outs of the other nodes' suspicions start again.
 void Detector::noticeOwnPause(MonotonicTime now)
 {
     MonotonicTime last = m_lastTick.value_or(now);
@@ -138,7 +140,7 @@
     }
 }
 
-// Counts, for each suspect, the nodes whose newest digest suspects it at its newest known sequence.
+// Counts, for each suspect, the observers whose latest digest suspects it at its latest known sequence or a higher one.
 void Detector::learnSuspicions(const DigestTable& table, MonotonicTime now)
 {
     std::map<uint64_t, size_t> words;
@@ -165,8 +167,9 @@
     std::erase_if(m_suspicions, [](const auto& entry) { return !entry.second.own && entry.second.observers == 0; });
 }
 
-// A digest newer than the suspicion means that the suspect lived after it; if that was only late news of a node
-// that died since, the next probe tells. One that was lost may return the same way.
+// A digest with a higher sequence shows that the suspect was alive after the suspicion began. The suspect is probed
+// again next, as the digest may have been delayed and the node may have failed since. A node that was declared dead
+// returns in the same way.
 void Detector::dropRefuted(const DigestTable& table)
 {
     std::erase_if(m_suspicions, [&](const auto& entry) {
@@ -192,7 +195,7 @@
 {
     std::vector<uint64_t> dead;
     for (const auto& [incarnation, suspicion] : m_suspicions) {
-        // Our own suspicion stands on a helper's word besides ours, unless there was nobody to ask.
+        // This node's own suspicion counts as two observers if a helper also failed to reach the target.
         size_t words = suspicion.observers + (suspicion.own ? (suspicion.alone ? 1 : wordsForDeath) : 0);
         bool enough = words >= wordsForDeath || suspicion.alone;
         if (enough && now - suspicion.since >= timeToDeath(suspicion, table.size()))
@@ -244,7 +247,7 @@
     return std::chrono::duration_cast<std::chrono::nanoseconds>(m_options.suspicionTime * scale);
 }
 
-// Helpers in other zones than ours first: they see the target by another path.
+// Prefers helpers in other availability zones, as they reach the target over another network path.
 std::vector<NodeInfo> Detector::pickHelpers(const DigestTable& table, uint64_t target, Random& random) const
 {
     std::vector<NodeInfo> helpers;
--- a/src/node/detector.h
+++ b/src/node/detector.h
@@ -13,74 +13,76 @@
 
 struct DetectorOptions {
     Milliseconds probePeriod { 1000 };
-    Milliseconds probeTimeout { 500 }; // For the direct probe, and for each helper's.
-    size_t helpers = 3;
-    // From suspicion to death: this, times log10 of the number of nodes (at least 1), as word takes longer to get
-    // around in a large cluster; times 1 + the local health penalty.
+    Milliseconds probeTimeout { 500 }; // Of the direct probe and of each helper's probe.
+    size_t helpers = 3; // Number of nodes asked to probe the target indirectly.
+    // Base time from suspicion to the verdict Dead. It is multiplied by log10 of the number of nodes (at least 1), as
+    // refutations take longer to spread in a large cluster, and by 1 + the local health penalty.
     Milliseconds suspicionTime { 3000 };
     int maxHealthPenalty = 4;
-    // A lone observer, with nobody to ask, waits this many times longer.
+    // Multiplies the time to the verdict if there was no helper to ask and no other node suspects the target.
     int loneObserverFactor = 3;
 };
 
 struct ProbePlan {
     NodeInfo target;
-    std::vector<NodeInfo> helpers; // To be asked if the target does not answer.
+    std::vector<NodeInfo> helpers; // Probe the target indirectly if the direct probe fails.
 };
 
-// What came of carrying out a plan.
+// Outcome of the probes of one ProbePlan.
 struct ProbeResult {
-    uint64_t target = 0; // Incarnation.
+    uint64_t target = 0; // Incarnation of the target.
     MonotonicTime began {};
-    std::optional<NodeId> answeredBy; // Whoever answered at the target's address.
-    size_t helpersReached = 0; // Helpers that reached the target,
-    size_t helpersMissed = 0; // that did not,
-    size_t helpersSilent = 0; // and that did not answer themselves.
+    std::optional<NodeId> answeredBy; // The node that answered at the target's address, if any.
+    size_t helpersReached = 0; // Number of helpers that reached the target.
+    size_t helpersMissed = 0; // Number of helpers that did not reach the target.
+    size_t helpersSilent = 0; // Number of helpers that did not answer this node.
 };
 
 enum class Liveness : uint8_t {
     Alive,
     Suspect,
-    Dead, // By more than one observer's word, for long enough; may still be wrong.
-    Gone, // Proven: a newer incarnation of its name answered at its address or is in the membership list.
+    Dead, // Suspected long enough, normally by more than one observer. The verdict may be wrong.
+    Gone, // Proven: a newer incarnation with the same name answered at its address or is in the membership list.
 };
 
-// SWIM-like failure suspicion. Pure. Each node probes one other a period; a missed probe is repeated through others;
-// suspicions travel in digests, and a newer sequence of the suspect refutes them. Nobody dies by one observer's word.
-// Verdicts choose partners and start slot replacement; safety never rests on them, only Gone is certain.
+// SWIM-like failure detector without I/O. Each node probes one other node per period. After a failed probe, other
+// nodes probe the target indirectly. Suspicions are sent in digests, and a digest of the suspect with a higher
+// sequence refutes them. The verdict Dead needs at least two nodes that cannot reach the target, unless the observer
+// had no other node to ask. Verdicts are used to choose partners and to start slot replacement. Safety does not depend
+// on them, as only Gone is certain.
 class Detector {
 public:
     Detector(const NodeInfo& self, DetectorOptions = {});
 
-    // To be called every probe period, before the plan is taken; drives all time-outs.
+    // Advances all time-outs. To be called once per probe period, before nextProbe().
     void tick(const DigestTable&, MonotonicTime now);
     std::optional<ProbePlan> nextProbe(const DigestTable&, Random&);
     void probed(const DigestTable&, const ProbeResult&, MonotonicTime now);
-    // The membership list names this incarnation for the node name: an older one is gone.
+    // Reports the incarnation that the membership list gives for a node name. Older incarnations become Gone.
     void listed(const DigestTable&, const NodeId&, MonotonicTime now);
 
     Liveness liveness(uint64_t incarnation) const;
-    // What this node says of others in its own digest.
+    // Suspects to publish in this node's digest.
     std::vector<IncarnationSequence> ownSuspects() const;
-    // Nodes that became Dead or Gone since the last call; gossip forgets them.
+    // Returns the nodes that became Dead or Gone since the last call. The caller removes them from gossip.
     std::vector<uint64_t> takeLost();
     bool distrustsItself(MonotonicTime now) const { return now < m_distrustUntil; }
     int healthPenalty() const { return m_healthPenalty; }
 
 private:
     struct Suspicion {
-        uint64_t sequence = 0; // Of the suspect, when it was last heard of; a higher one refutes.
+        uint64_t sequence = 0; // Latest sequence of the suspect when suspected; a higher one refutes.
         MonotonicTime since {};
-        bool own = false;
-        bool alone = false; // Nobody could be asked.
-        size_t observers = 0;
+        bool own = false; // This node suspects it too.
+        bool alone = false; // No helper was available to repeat this node's failed probe.
+        size_t observers = 0; // Number of other nodes that suspect it.
     };
 
     struct Lost {
         Liveness how = Liveness::Dead;
         MonotonicTime since {};
         uint64_t sequence = 0;
-        bool mention = false; // Still said in our digest, for those who count our word.
+        bool mention = false; // Still published in this node's digest, as other nodes count this observer.
     };
 
     void noticeOwnPause(MonotonicTime now);
@@ -100,7 +102,7 @@
     std::map<uint64_t, Suspicion> m_suspicions;
     std::map<uint64_t, Lost> m_lost;
     std::vector<uint64_t> m_newlyLost;
-    std::vector<uint64_t> m_order; // Still to be probed in this pass over all nodes.
+    std::vector<uint64_t> m_order; // Nodes still to be probed in the current pass over all nodes.
     std::optional<MonotonicTime> m_lastTick;
     MonotonicTime m_distrustUntil {};
     MonotonicTime m_pauseNoticed {};
--- a/src/node/digest.h
+++ b/src/node/digest.h
@@ -10,7 +10,7 @@
 
 namespace Kumquatpick {
 
-// How far one incarnation's digests are known.
+// The latest known digest sequence of one incarnation.
 struct IncarnationSequence {
     uint64_t incarnation = 0;
     uint64_t sequence = 0;
@@ -18,19 +18,19 @@
     bool operator==(const IncarnationSequence&) const = default;
 };
 
-// What one node says of itself to the others; gossip passes the newest one of each node on.
+// State that one node publishes about itself. Gossip forwards the latest digest of each node.
 struct NodeDigest {
-    NodeInfo node; // Only the incarnation is set in an update to a peer that knows the rest.
-    uint64_t sequence = 0; // Grows with each digest of this incarnation.
-    bool stopping = false; // In a planned stop: gets no new callers and no new slots.
+    NodeInfo node; // An update to a peer that has the other fields already carries only the incarnation.
+    uint64_t sequence = 0; // Increases with each digest of this incarnation.
+    bool stopping = false; // The node is shutting down as planned and gets no new callers or slots.
     Offset configVersion = 0;
     Offset logOffset = 0;
-    uint32_t streams = 0; // In flight, for the weights in address answers.
-    uint64_t usageSequence = 0; // The sequence that the usage was reported with; 0 if it is left out.
-    std::vector<TeamUsage> usage; // Of this node; travels within its zone only.
-    std::vector<TeamUsage> zoneUsage; // Of its whole zone; set by one node of each zone.
-    std::vector<SuspicionCount> suspicions; // Counted by this node itself.
-    std::vector<IncarnationSequence> suspects; // Nodes that this one can't reach, and their newest known sequence.
+    uint32_t streams = 0; // Number of streams in flight; determines the weights in address answers.
+    uint64_t usageSequence = 0; // Sequence of the digest that reported the usage; 0 if the usage is left out.
+    std::vector<TeamUsage> usage; // Usage of this node; sent only within its availability zone.
+    std::vector<TeamUsage> zoneUsage; // Total usage of the availability zone; set by one node of each zone.
+    std::vector<SuspicionCount> suspicions; // Backend server deaths, counted by this and other nodes.
+    std::vector<IncarnationSequence> suspects; // Nodes that this node cannot reach, with their latest known sequence.
 };
 
 } // namespace Kumquatpick
--- a/src/node/digesttable.cpp
+++ b/src/node/digesttable.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Bounds on what peers can make us remember.
+    // Limits on the memory that peers' messages can occupy.
     constexpr size_t maxNodes = 4096;
     constexpr size_t maxBuried = 8192;
     constexpr uint64_t forever = std::numeric_limits<uint64_t>::max();
--- a/src/node/digesttable.h
+++ b/src/node/digesttable.h
@@ -11,22 +11,22 @@
 
 namespace Kumquatpick {
 
-// The newest known digest of each node. Merging commutes and is idempotent, so digests may arrive late, doubled
-// and in any order:
-// - of one incarnation the highest sequence counts, and for usage the highest sequence that carried usage;
-// - of one node name the highest incarnation counts;
-// - a forgotten (dead) incarnation returns only with a sequence above the one that it was forgotten at.
+// The latest known digest of each node. Merging is commutative and idempotent, so digests may arrive late, more than
+// once and in any order:
+// - For an incarnation, the highest sequence wins. Usage is taken from the highest sequence that carried usage.
+// - For a node name, the highest incarnation wins.
+// - An incarnation that was forgotten as dead returns only with a higher sequence than it had when forgotten.
 class DigestTable {
 public:
-    // By incarnation, so that two nodes which know the same members list them in the same order.
+    // Ordered by incarnation, so that two nodes with the same members list them in the same order.
     using Zone = std::map<uint64_t, NodeDigest>;
 
     explicit DigestTable(const NodeInfo& self);
 
-    // Whether anything new was learnt. What others say of this node itself is ignored.
+    // Returns whether the digest contained anything new. Digests of this node's own incarnation are ignored.
     bool merge(const NodeDigest&);
     void setOwn(NodeDigest);
-    // A dead node returns with a newer digest, one that is proven gone never does.
+    // Removes a node. A later digest with a higher sequence brings it back, unless it was removed for good.
     void forget(uint64_t incarnation, bool forGood);
 
     const NodeInfo& self() const { return m_self; }
@@ -34,11 +34,11 @@
     const NodeDigest* find(uint64_t incarnation) const;
     const std::map<std::string, Zone>& zones() const { return m_zones; }
     size_t size() const { return m_zoneOf.size(); }
-    // Whether this is of a life that was forgotten or replaced.
+    // Whether the incarnation was forgotten at this sequence or a higher one, or was replaced.
     bool obsolete(const IncarnationSequence&) const;
-    // The newest incarnation heard of under a node name; 0 if there is none.
+    // The highest known incarnation of a node name; 0 if there is none.
     uint64_t newestOf(const std::string& name) const;
-    // A newer incarnation of this node's own name was heard of: this process has been replaced.
+    // Whether a digest of a newer incarnation with this node's name was received, so that this process is replaced.
     bool replaced() const { return m_replaced; }
 
     void forEach(const std::function<void(const NodeDigest&)>&) const;
@@ -56,8 +56,8 @@
     NodeInfo m_self;
     std::map<std::string, Zone> m_zones;
     std::unordered_map<uint64_t, std::string> m_zoneOf;
-    std::unordered_map<std::string, uint64_t> m_newest; // Incarnation by node name.
-    std::unordered_map<uint64_t, uint64_t> m_gone; // Incarnation to the sequence up to which it stays gone.
+    std::unordered_map<std::string, uint64_t> m_newest; // Highest known incarnation by node name.
+    std::unordered_map<uint64_t, uint64_t> m_gone; // Highest rejected sequence by incarnation.
     std::deque<Buried> m_burialOrder;
     bool m_replaced = false;
 };
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-    // One exchange at a cold start carries a whole cluster of this size; larger ones take several rounds.
+    // A node that starts with an empty table learns a cluster of up to this size in one exchange. Larger clusters take
+    // several rounds.
     constexpr size_t maxUpdatesPerMessage = 512;
-    constexpr uint64_t seedRounds = 4; // An unknown seed is tried every so many rounds.
-    // A node hears of its zone's other nodes from within the zone, with their usage; from outside only what
-    // has not come through by so many sequences.
+    constexpr uint64_t seedRounds = 4; // A seed that is not in the digest table is contacted every this many rounds.
+    // Digests of a node normally reach the other nodes of its zone from within the zone, as only these carry usage.
+    // Between zones they are sent or requested only if the receiver is at least this many sequences behind.
     constexpr uint64_t zoneLag = 8;
 
     using UsageKey = std::pair<std::string, std::string>;
@@ -39,8 +40,8 @@
         return usage;
     }
 
-    // The node whose word counts for its zone: the first by name. No agreement is needed, as each reader
-    // picks one speaker and a disagreement only lasts until gossip settles.
+    // The node that publishes the usage of its zone: the first by name. No agreement is needed, as each reader selects
+    // one such node, and selections differ only until gossip has converged.
     const NodeDigest* speaker(const DigestTable::Zone& zone)
     {
         const NodeDigest* first = nullptr;
@@ -66,7 +67,7 @@
         });
     }
 
-    // What peers should act on without waiting for the next refresh.
+    // Changes on which peers should act without waiting for the next refresh.
     bool urgentChange(const NodeDigest& before, const NodeDigest& now)
     {
         return before.sequence == 0 || before.stopping != now.stopping || before.configVersion != now.configVersion
@@ -106,8 +107,9 @@
     next.suspects = report.suspects;
     if (speaksForZone())
         next.zoneUsage = ownZoneUsage(report.usage);
-    next.suspicions = report.suspicions; // Other observers' too: they may be gone when a later node joins.
-    // Being suspected is refuted by a newer sequence.
+    // Includes counts of other observers, which may have stopped by the time a new node joins.
+    next.suspicions = report.suspicions;
+    // If another node suspects this one, a digest with a higher sequence is published to refute it.
     bool suspected = false;
     m_table.forEach([&](const NodeDigest& digest) {
         for (const IncarnationSequence& suspect : digest.suspects)
@@ -285,7 +287,8 @@
     }
 }
 
-// The low bits suffice: a node lags by a few sequences, and by half the range only if it is long dead.
+// The low 16 bits are sufficient: sequences differ by a few, and by half the range only for a node that has been dead
+// for a long time.
 void Gossip::compareSequences(const ZoneSummary& theirs, const std::string& peerZone, GossipMessage& out) const
 {
     size_t position = 0;
--- a/src/node/gossip.h
+++ b/src/node/gossip.h
@@ -13,49 +13,52 @@
 
 namespace Kumquatpick {
 
-// What a node has to say of itself now.
+// Current state of this node, to be published in its next digest.
 struct OwnReport {
     bool stopping = false;
     Offset configVersion = 0;
     Offset logOffset = 0;
     uint32_t streams = 0;
     std::vector<TeamUsage> usage;
-    std::vector<SuspicionCount> suspicions; // All that is worth passing on, by whomever it was counted.
+    std::vector<SuspicionCount> suspicions; // Counts to publish, from this and other observers.
     std::vector<IncarnationSequence> suspects;
 };
 
 struct GossipOptions {
     Milliseconds period { 500 }; // Between rounds of exchanges.
-    // Load figures of a node go out at most once in this time for each known node, so that the bytes that a node
-    // receives level off as the cluster grows. What is urgent goes out at once.
+    // A node publishes changed load figures at most once in this time multiplied by the number of known nodes, so that
+    // the received bytes per node level off as the cluster grows. Urgent changes are published at once.
     Milliseconds refreshPerNode { 10 };
-    Milliseconds idleRefresh { 5000 }; // With nothing new to say.
+    Milliseconds idleRefresh { 5000 }; // Interval between digests of a node whose state does not change.
 };
 
-// Newest-wins exchange of digests with random peers. Pure: state, message and time in, next message out.
-// Usage of single nodes stays in its zone; other zones get the sum that one node of the zone makes.
+// Exchange of digests with random peers, in which the latest digest of each node wins. Performs no I/O: the caller
+// passes in messages and the time, and sends the messages that are returned. The usage of single nodes is sent only
+// within their availability zone; other zones receive the zone's total, which one node of the zone computes.
 class Gossip {
 public:
     explicit Gossip(const NodeInfo& self, GossipOptions = {});
 
     void report(const OwnReport&, MonotonicTime now);
-    // Addresses from the membership list, to find nodes that gossip doesn't know (any more).
+    // Nodes of the membership list. They are contacted if they are not, or no longer, in the digest table.
     void setSeeds(std::vector<NodeInfo>);
 
-    // Whom to exchange with this round: one node of our zone, one of another, now and then an unknown seed.
+    // Peers for this round's exchanges: one node of this availability zone, one of another zone and, in some rounds, a
+    // seed that is not in the digest table.
     std::vector<NodeInfo> pickPeers(Random&);
-    // The opening leg, and the answer to any leg; an empty answer ends the exchange.
+    // open() returns the first message of an exchange, and answer() the reply to any message. An empty reply ends the
+    // exchange.
     GossipMessage open() const;
     GossipMessage answer(const GossipMessage&);
 
-    // A node found dead or, for good, gone.
+    // Removes a dead node; forGood is set if it is proven gone.
     void forget(uint64_t incarnation, bool forGood) { m_table.forget(incarnation, forGood); }
 
     const DigestTable& table() const { return m_table; }
     // Running and waiting requests at all other nodes, summed by service and team.
     std::vector<TeamUsage> othersUsage() const;
     std::vector<SuspicionCount> suspicions() const;
-    // Some node that has a newer accepted text than this version, at random.
+    // A random node that has a newer accepted configuration than this version, if any.
     std::optional<NodeDigest> newerConfigHolder(Offset version, Random&) const;
 
 private:
--- a/src/node/listednodes.h
+++ b/src/node/listednodes.h
@@ -9,22 +9,23 @@
 
 namespace Kumquatpick {
 
-// What the platform's membership list proves about nodes. A host gone from the list is dead, but the list lags and a
-// young host may not be in it yet: absence counts only after it has lasted over updates for the whole grace time.
-// Pure; the clock is that of updates, so that a list that does not answer proves nothing.
+// Determines from the platform's membership list which nodes have ended. A host that is no longer listed is dead. As
+// the list is updated with a delay and may not contain a new host yet, a host counts as dead only if it is missing
+// from all updates of the whole grace period. Time is measured from update to update, so a period in which the list
+// cannot be read does not count. Performs no I/O.
 class ListedNodes {
 public:
     explicit ListedNodes(Milliseconds grace);
 
     void update(std::span<const NodeInfo>, MonotonicTime now);
-    // Whether this incarnation can never act again. The first question about an unlisted name starts its grace.
+    // Whether this incarnation has ended for good. The first call for an unlisted name starts its grace period.
     bool provenGone(const NodeId&);
 
 private:
     Milliseconds m_grace;
     bool m_known = false;
     MonotonicTime m_updated {};
-    std::map<std::string, uint64_t> m_listed; // Incarnation by node name; 0 if the list gives none.
+    std::map<std::string, uint64_t> m_listed; // Incarnation by node name; 0 if the list contains none.
     std::map<std::string, MonotonicTime> m_absentSince;
 };
 
--- a/src/node/nodeserver.cpp
+++ b/src/node/nodeserver.cpp
@@ -9,14 +9,14 @@
 namespace {
 
     constexpr size_t maxServedConnections = 2048;
-    constexpr size_t maxBodyBytes = 12 << 20; // Leaves room for the rest within a peer's message limit.
-    constexpr uint64_t maxWordsInFlight = 4 << 20; // Of calls from one connection.
+    constexpr size_t maxBodyBytes = 12 << 20; // Leaves room for the other fields within a peer's message limit.
+    constexpr uint64_t maxWordsInFlight = 4 << 20; // Limit on the calls in flight on one connection.
     constexpr uint32_t longestProbeMs = 10000;
-    constexpr auto acceptPause = 100 * kj::MILLISECONDS; // After a failed accept, such as too many open files.
+    constexpr auto acceptPause = 100 * kj::MILLISECONDS; // Delay after a failed accept, e.g. too many open files.
 
     constexpr auto serverSide = capnp::rpc::twoparty::Side::SERVER;
 
-    // Throws the error in the form in which Cap'n Proto hands it to the caller.
+    // Throws the error as a kj::Exception, which Cap'n Proto returns to the caller.
     template <typename Value> Value orThrow(std::variant<Value, Error> settled)
     {
         if (const Error* error = std::get_if<Error>(&settled))
@@ -54,7 +54,7 @@
     return kj::READY_NOW;
 }
 
-// A message meant for the process that was here before must not be taken for ours.
+// Drops a message that is addressed to an earlier incarnation of this node.
 kj::Promise<void> NodeServer::deliver(DeliverContext context)
 {
     auto params = context.getParams();
@@ -88,7 +88,7 @@
     StoredAnswer answer;
     if (m_handlers.storedAnswer)
         answer = m_handlers.storedAnswer(context.getParams().getKey().cStr());
-    KJ_REQUIRE(answer.body.size() <= maxBodyBytes, "the answer is too large to hand on");
+    KJ_REQUIRE(answer.body.size() <= maxBodyBytes, "stored answer exceeds the size limit of RPC messages");
     auto out = context.getResults().initAnswer();
     out.setPhase(onWire(answer.phase));
     out.setStatus(answer.status);
@@ -99,7 +99,7 @@
 
 kj::Promise<void> NodeServer::exchange(ExchangeContext context)
 {
-    KJ_REQUIRE(bool(m_handlers.exchangeDigests), "gossip is not running here");
+    KJ_REQUIRE(bool(m_handlers.exchangeDigests), "this node does not take part in gossip");
     auto bytes = context.getParams().getMessage();
     auto message = orThrow(settle([&] { return decodeGossip({ bytes.begin(), bytes.size() }); }));
     auto reply = encode(m_handlers.exchangeDigests(message));
@@ -159,7 +159,7 @@
                     .then([this] { --m_connectionCount; }, [this](kj::Exception&&) { --m_connectionCount; }));
 }
 
-// A connection that broke its protocol has been closed already; the peer's own fault is not ours to report.
+// A connection that violated the protocol is closed already. The error lies with the peer and is not logged here.
 void PeerListener::taskFailed(kj::Exception&&) { }
 
 } // namespace Kumquatpick
--- a/src/node/nodeserver.h
+++ b/src/node/nodeserver.h
@@ -7,7 +7,7 @@
 
 namespace Kumquatpick {
 
-// Answers peers' calls through the handlers. Lives on the event loop.
+// Serves RPC calls of peers through the handlers. Used only on the event loop's thread.
 class NodeServer final : public Rpc::Node::Server {
 public:
     NodeServer(NodeInfo self, const PeerHandlers&, PeerConnections&, kj::Timer&);
@@ -26,7 +26,7 @@
     kj::Timer& m_timer;
 };
 
-// Accepts peers' connections, up to a bound, and serves the node on each.
+// Accepts connections of peers, up to a limit, and serves RPC calls on each.
 class PeerListener final : private kj::TaskSet::ErrorHandler {
 public:
     PeerListener(kj::Own<kj::ConnectionReceiver>, Rpc::Node::Client, kj::Timer&);
--- a/src/node/peerconnections.cpp
+++ b/src/node/peerconnections.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // A copied journal part or a kept answer must fit; one message may cost this much memory.
+    // Limit on the memory that one message takes. A part of a copied journal or a stored answer must fit.
     constexpr uint64_t maxMessageWords = 2 << 20; // 16 MiB
     constexpr int maxNesting = 16;
     constexpr size_t maxBacklogPerPeer = 1024;
@@ -64,7 +64,7 @@
         return peer.connection;
     if (!peer.connecting) {
         if (haste == Haste::RespectBackoff && monotonicNow() < peer.retryAt)
-            return noConnection("waiting to connect again"_kj);
+            return noConnection("reconnect backoff has not ended"_kj);
         startAttempt(address, peer);
     }
     return KJ_ASSERT_NONNULL(peer.attempt)
@@ -72,7 +72,7 @@
         .then([this, address]() -> kj::Promise<std::shared_ptr<PeerConnection>> {
             Peer& peer = m_peers[address];
             if (!peer.connection)
-                return noConnection("connection ended at once"_kj);
+                return noConnection("connection closed immediately after it was opened"_kj);
             return peer.connection;
         });
 }
@@ -120,7 +120,7 @@
         dispose(std::move(found->second.connection));
 }
 
-// A connection may be given up inside one of its own callbacks; it is taken down after that has returned.
+// A connection may be closed from one of its own callbacks, so it is destroyed only after the callback has returned.
 void PeerConnections::dispose(std::shared_ptr<PeerConnection> connection)
 {
     m_tasks.add(kj::evalLater([held = std::move(connection)]() mutable { held.reset(); }));
@@ -145,7 +145,7 @@
 
 void PeerConnections::leaveBacklog(const Address& address) { --m_peers[address].backlog; }
 
-// Addresses come and go with replaced hosts; those without a connection cost only their backoff.
+// Replaced hosts leave unused addresses behind. Removing an address without a connection loses only its backoff.
 void PeerConnections::forgetIdlePeers()
 {
     if (m_peers.size() < maxRememberedPeers)
@@ -156,7 +156,7 @@
     });
 }
 
-// Each failure is reported to the call that it belongs to.
+// Failures are reported by the calls that they affect, so there is nothing to do here.
 void PeerConnections::taskFailed(kj::Exception&&) { }
 
 } // namespace Kumquatpick
--- a/src/node/peerconnections.h
+++ b/src/node/peerconnections.h
@@ -12,10 +12,10 @@
 
 namespace Kumquatpick {
 
-// Limits on what a peer may send, so that a hostile one costs a connection and not the node.
+// Limits on messages of a peer. A malicious or faulty peer then causes the loss of a connection and not of the node.
 capnp::ReaderOptions peerReaderOptions();
 
-// One kept connection to a peer's server.
+// One persistent connection to a peer's server.
 struct PeerConnection {
     explicit PeerConnection(kj::Own<kj::AsyncIoStream>);
 
@@ -26,22 +26,23 @@
     MonotonicTime lastHeard = monotonicNow();
 };
 
-// Connections to peers, made when first needed and again after a backoff. Lives on the event loop.
+// Connections to peers. They are opened on first use and reopened after a backoff. Used only on the event loop's
+// thread.
 class PeerConnections : private kj::TaskSet::ErrorHandler {
 public:
     enum class Haste : uint8_t {
         RespectBackoff,
-        TryNow, // For probes: a peer that restarted is found at once.
+        TryNow, // Used by probes, so that a restarted peer is detected at once.
     };
 
     PeerConnections(kj::Network&, kj::Timer&);
 
-    // Rejected with DISCONNECTED if there is no connection and none can be made now.
+    // The promise is rejected with DISCONNECTED if there is no connection and none can be opened now.
     kj::Promise<std::shared_ptr<PeerConnection>> connect(const Address&, Haste);
-    // Gives up a connection on which nothing came back since then, so that the next call makes a new one.
+    // Closes the connection if nothing was received on it since the given time. The next call opens a new one.
     void dropIfSilentSince(const Address&, MonotonicTime);
 
-    // Counts sends on their way to a peer; false if it has too many.
+    // Adds one to the number of sends in flight to a peer. Returns false if the limit is reached.
     bool enterBacklog(const Address&);
     void leaveBacklog(const Address&);
 
--- a/src/node/pendingcall.h
+++ b/src/node/pendingcall.h
@@ -10,13 +10,13 @@
 
 namespace Kumquatpick {
 
-// A call on its way from the thread that waits for it to the event loop. Whether its bytes went out is decided
-// once, by whichever comes first: the loop that sends or the waiter that gives up. So Unreachable is never a lie.
+// An RPC call that a caller's thread passes to the event loop. Exactly one of two events takes effect: the loop starts
+// sending, or the caller times out. Unreachable therefore always means that nothing was sent.
 template <typename Value> class PendingCall {
 public:
     using Outcome = std::variant<Value, Error>;
 
-    // Loop's end. The last reference settles the call, so that a shutdown leaves nobody waiting.
+    // The event loop's side of the call. Its destructor settles the call, so that no caller waits after a shutdown.
     class Sender {
     public:
         explicit Sender(std::shared_ptr<PendingCall> call)
@@ -32,7 +32,7 @@
         bool beginSending() { return m_call->advance(Stage::Sent); }
         bool sent() const { return m_call->m_stage == Stage::Sent; }
 
-        // The first outcome counts.
+        // Only the first outcome takes effect.
         void settle(Outcome outcome)
         {
             if (!m_settled)
@@ -47,7 +47,7 @@
         bool m_settled = false;
     };
 
-    // Waits; on timeout the error says whether anything was sent.
+    // Waits for the outcome. On a time-out the error is Timeout if the request may have been sent, else Unreachable.
     Outcome wait(std::chrono::milliseconds timeout, const Error& where)
     {
         auto future = m_outcome.get_future();
@@ -69,7 +69,7 @@
         bool wasSent = m_stage == Stage::Sent;
         Error error = where;
         error.code = wasSent ? ErrorCode::Timeout : ErrorCode::Unreachable;
-        error.detail = wasSent ? "no answer in time" : "no connection in time";
+        error.detail = wasSent ? "no answer from peer within the time-out" : "no connection within the time-out";
         return error;
     }
 
--- a/src/node/simulation.cpp
+++ b/src/node/simulation.cpp
@@ -14,13 +14,13 @@
 
     constexpr Milliseconds callTimeout { 1000 };
     constexpr Milliseconds lagTime { 2000 };
-    // One way; jitter adds up to as much again.
+    // One-way base latencies. Random jitter adds between zero and the same amount again.
     constexpr microseconds withinZone { 300 };
     constexpr microseconds withinRegion { 1200 };
     constexpr microseconds acrossRegions { 60000 };
 
-    // Measured on the wire: the RPC frames of a call (with its finish message) and of its return. The payload of
-    // an exchange comes on top.
+    // Bytes of the RPC messages of a call (including its finish message) and of its return, as measured on the wire.
+    // The payload of an exchange is added to these.
     constexpr uint64_t exchangeCallBytes = 176;
     constexpr uint64_t exchangeReturnBytes = 96;
     constexpr uint64_t helloCallBytes = 152;
@@ -60,12 +60,12 @@
     Offset config = 1;
     std::map<Offset, Milliseconds> adopted;
     std::vector<TeamUsage> usage;
-    std::vector<int> misses; // By target, for the baseline.
+    std::vector<int> misses; // Consecutive missed pings by target; used only by the baseline.
 };
 
 struct MembershipSimulation::Event {
     MonotonicTime time;
-    uint64_t number; // Orders events of the same time.
+    uint64_t number; // Orders events with the same time.
     size_t node;
     std::function<void()> run;
 
@@ -248,7 +248,7 @@
     m_nodes[node]->adopted[version] = now();
 }
 
-// Load as on a busy node: every figure moves between any two reports.
+// Simulates the load of a busy node: each report has new random figures.
 OwnReport MembershipSimulation::reportOf(size_t node)
 {
     Node& self = *m_nodes[node];
@@ -357,7 +357,7 @@
     }
 }
 
-// Decided at once, as a call with its events for each pair of nodes takes too long to simulate.
+// Determines the result without events, as simulating a call for each pair of nodes would take too long.
 bool MembershipSimulation::ping(size_t from, size_t to)
 {
     Node& target = *m_nodes[to];
--- a/src/node/simulation.h
+++ b/src/node/simulation.h
@@ -14,8 +14,8 @@
 namespace Kumquatpick {
 
 struct SimulationOptions {
-    // How nodes judge each other: by gossip and several observers, or, as a baseline, each on its own word
-    // by pinging every other node once a second and counting three misses.
+    // How nodes detect failures. Swim uses the gossip-based failure detector with several observers. SingleObserver
+    // is the baseline: each node pings every other node once per second and declares it dead after three misses.
     enum class Detection : uint8_t {
         Swim,
         SingleObserver,
@@ -24,28 +24,29 @@
     size_t nodes = 8;
     size_t zones = 3;
     size_t regions = 1;
-    double loss = 0; // Share of messages lost, in each direction of each call.
-    double lagged = 0; // Share of messages that take two seconds longer.
+    double loss = 0; // Fraction of messages lost, in each direction of each call.
+    double lagged = 0; // Fraction of messages that take two seconds longer.
     Detection detection = Detection::Swim;
     GossipOptions gossip {};
     DetectorOptions detector {};
     size_t services = 2;
-    size_t teams = 10; // Each node reports usage of each team at each service.
+    size_t teams = 10; // Each node reports the usage of each team for each service.
     uint64_t seed = 1;
 };
 
-// One observer's verdict on one target.
+// One observer's verdict that a target is lost.
 struct SimulatedVerdict {
     Milliseconds at {};
     size_t observer = 0;
     size_t target = 0;
     bool targetDied = false;
     bool targetPaused = false;
-    bool targetWoken = false; // It stood still before, and runs again.
+    bool targetWoken = false; // The target was paused before and is running again.
 };
 
-// The real gossip and detector cores of many nodes in event time, with the real encoding for sizes. Calls are lost
-// rather than sent again, which is harsher than TCP. The same options give the same run.
+// Discrete-event simulation of many nodes. It runs the production classes Gossip and Detector, and takes message sizes
+// from the production encoding. Lost calls are not sent again, which is stricter than TCP. The same options give the
+// same run.
 class MembershipSimulation {
 public:
     explicit MembershipSimulation(const SimulationOptions&);
@@ -56,18 +57,18 @@
 
     void kill(size_t node);
     void pause(size_t node, Milliseconds duration);
-    // Accepts a newer text at one node, as if the log had told it.
+    // Lets one node adopt a newer configuration version, as if it had read it from the log.
     void publish(size_t node, Offset version);
 
     size_t size() const { return m_nodes.size(); }
-    // Dead for nodes that the observer has forgotten.
+    // Returns Dead for targets that are no longer in the observer's digest table.
     Liveness liveness(size_t observer, size_t target) const;
     const Gossip& gossip(size_t node) const;
-    // When the node took the newest text over; nothing if it did not.
+    // Time at which the node adopted this version; empty if it did not.
     std::optional<Milliseconds> adoptedAt(size_t node, Offset version) const;
     uint64_t bytesSent(size_t node) const;
     const std::vector<SimulatedVerdict>& verdicts() const { return m_verdicts; }
-    // Own suspicions of nodes that were alive and not paused.
+    // Number of times that a node's own probes made it suspect a node that was alive and not paused.
     uint64_t falseSuspicions() const { return m_falseSuspicions; }
 
 private:
@@ -76,7 +77,7 @@
     using Continue = std::function<void(bool answered)>;
 
     void schedule(size_t node, std::chrono::nanoseconds delay, std::function<void()>);
-    // Runs handle at the target and then done at the caller, or done(false) at the timeout.
+    // Runs handle at the target and then done(true) at the caller, or done(false) at the time-out.
     void call(size_t from, size_t to, Milliseconds timeout, std::function<void()> handle, Continue done);
     std::optional<std::chrono::nanoseconds> transit(size_t from, size_t to);
     bool chance(double share);
--- a/src/node/transport.cpp
+++ b/src/node/transport.cpp
@@ -19,7 +19,7 @@
     constexpr size_t maxQueuedTasks = 1 << 16;
     constexpr Milliseconds sendTimeout { 5000 };
 
-    // The library's own messages become log lines like all others.
+    // Writes Cap'n Proto's own messages to the application log.
     class LibraryLog : public kj::ExceptionCallback {
     public:
         void logMessage(kj::LogSeverity, const char*, int, int, kj::String&& text) override
@@ -28,7 +28,7 @@
         }
     };
 
-    // What lives on the event loop.
+    // Objects that are used only on the event loop's thread.
     struct Loop : private kj::TaskSet::ErrorHandler {
         Loop(kj::AsyncIoContext& io)
             : timer(io.provider->getTimer())
@@ -129,7 +129,7 @@
             });
         }
 
-        // The peer gets less time than we wait, so that its "not reached" arrives before we give up on the peer.
+        // The peer gets a shorter time-out than the call, so that a negative answer arrives before the call ends.
         Result<bool> probeThrough(const Address& peer, const NodeInfo& target, Milliseconds timeout) override
         {
             auto peersTimeout = static_cast<uint32_t>(std::max<int64_t>(timeout.count() * 2 / 3, 1));
@@ -179,7 +179,7 @@
     private:
         using Task = std::function<void(Loop&)>;
 
-        // Hands a task to the loop; false if it is stopping or has too much to do.
+        // Queues a task for the event loop. Returns false if the transport is stopping or the queue is full.
         bool post(Task task)
         {
             std::lock_guard lock(m_mutex);
@@ -197,7 +197,7 @@
             wake();
         }
 
-        // Under the lock.
+        // The caller must hold m_mutex.
         void wake()
         {
             if (m_wake)
@@ -231,7 +231,7 @@
             listener.emplace(kj::mv(receiver), Rpc::Node::Client(kj::mv(server)), loop.timer);
         }
 
-        // Always waits for the next wake through the loop, so that a stream of tasks can't starve the sockets.
+        // Runs the event loop after each batch of tasks, so that a steady flow of tasks cannot starve socket I/O.
         bool runQueuedTasks(Loop& loop, kj::WaitScope& waitScope)
         {
             auto next = kj::newPromiseAndCrossThreadFulfiller<void>();
@@ -255,7 +255,7 @@
             Error where { ErrorCode::Internal, step, peer.toString(), {} };
             BOOST_LEAF_CHECK(Address::parse(where.peer));
             if (std::this_thread::get_id() == m_thread.get_id()) {
-                where.detail = "a blocking call on the RPC thread";
+                where.detail = "blocking call made on the RPC thread";
                 return fail(where);
             }
             auto pending = std::make_shared<PendingCall<Value>>();
@@ -263,7 +263,7 @@
             bool queued = post([this, peer, timeout, where, sender, start = std::move(start)](
                                    Loop& loop) { runCall<Value>(loop, peer, timeout, where, sender, start); });
             if (!queued)
-                return fail({ ErrorCode::ShuttingDown, step, where.peer, "transport takes no calls" });
+                return fail({ ErrorCode::ShuttingDown, step, where.peer, "transport stopping or its queue full" });
             sender.reset();
             auto outcome = pending->wait(timeout, where);
             if (Error* error = std::get_if<Error>(&outcome))
@@ -275,7 +275,7 @@
         void runCall(Loop& loop, const Address& peer, Milliseconds timeout, const Error& where,
             const std::shared_ptr<typename PendingCall<Value>::Sender>& sender, const Start& start)
         {
-            // A hello is asked to find out; the others can wait for the backoff to end.
+            // Probes have to detect a restarted peer at once. Other calls fail until the backoff has ended.
             auto haste
                 = where.step == Step::Probe ? PeerConnections::Haste::TryNow : PeerConnections::Haste::RespectBackoff;
             MonotonicTime began = monotonicNow();
--- a/src/node/transport.h
+++ b/src/node/transport.h
@@ -11,7 +11,7 @@
 
 namespace Kumquatpick {
 
-// A finished or running answer at the node that ran the request.
+// The answer to a request, finished or still running, at the node that executed the request.
 struct StoredAnswer {
     enum class Phase : uint8_t {
         Unknown,
@@ -30,7 +30,7 @@
     std::string text;
 };
 
-// What a node answers its peers. Called on the RPC thread: none of these may block.
+// Handlers for calls from peers. They are called on the RPC thread and must not block.
 struct PeerHandlers {
     std::function<void(const SlotMessage&)> deliverSlotMessage;
     std::function<StoredAnswer(const std::string& key)> storedAnswer;
@@ -38,27 +38,31 @@
     std::function<AcceptedText()> acceptedText;
 };
 
-// Cap'n Proto RPC between nodes: one thread with the event loop, a server and a kept connection to each peer.
-// Calls come from any other thread and block up to their timeout; sends do not block and work on the RPC thread too.
-// Errors of calls: Unreachable if nothing was sent, Timeout or BrokenOff if something may have been, Refused,
-// Overloaded or Malformed by what the peer answered, ShuttingDown, InvalidArgument for an address that is no IP number.
+// Cap'n Proto RPC between nodes. One thread runs the event loop with a server and a persistent connection to each peer.
+// Calls can be made from any other thread and block until their time-out at most. Sends do not block and may also be
+// made on the RPC thread. Errors of calls:
+// - Unreachable: nothing was sent.
+// - Timeout, BrokenOff: the request may have been sent.
+// - Refused, Overloaded, Malformed: determined by the peer's answer.
+// - ShuttingDown: the transport is stopping or its task queue is full.
+// - InvalidArgument: the address is not a numeric IP address.
 class NodeTransport {
 public:
-    // Binds to self's peer address; port 0 takes a free one. Fails with InvalidArgument if it can't be bound.
+    // Binds to the peer address of self; port 0 selects a free port. Fails with InvalidArgument if that is impossible.
     static Result<std::unique_ptr<NodeTransport>> start(const NodeInfo& self, PeerHandlers);
     virtual ~NodeTransport() = default;
 
-    // What start() was given, with the port that was bound.
+    // The node that was passed to start(), with the port that was bound.
     virtual const NodeInfo& self() const = 0;
-    // Sends given up because the peer was unreachable or a backlog was full.
+    // Number of sends dropped because the peer was unreachable or a queue was full.
     virtual uint64_t droppedSends() const = 0;
 
-    // Fire and forget; a message to a peer that is unreachable, or whose backlog is full, is dropped. One that
-    // names an incarnation is dropped by any other; incarnation 0 means whoever is there.
+    // Sends without acknowledgement. A message is dropped if the peer is unreachable or its backlog is full. A node
+    // drops a message that names another incarnation than its own; incarnation 0 matches any.
     virtual void send(const NodeInfo& to, const SlotMessage&) = 0;
-    // Who answers at an address now.
+    // Returns the node that answers at an address.
     virtual Result<NodeInfo> hello(const Address&, Milliseconds timeout) = 0;
-    // Asks a peer whether it reaches a third node in this incarnation (0: any): a second observer's word.
+    // Indirect probe: asks a peer whether it reaches the target in this incarnation (0 matches any).
     virtual Result<bool> probeThrough(const Address& peer, const NodeInfo& target, Milliseconds timeout) = 0;
     virtual Result<StoredAnswer> fetchAnswer(const Address&, const std::string& key, Milliseconds timeout) = 0;
     virtual Result<GossipMessage> exchange(const Address&, const GossipMessage&, Milliseconds timeout) = 0;
--- a/tests/node/generators.h
+++ b/tests/node/generators.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// Random messages of each kind, and their fields as tuples to compare them by.
+// Generators of random messages, and functions that return a message's fields as a tuple for comparison.
 
 inline rc::Gen<std::string> anyText() { return rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~')); }
 
@@ -47,7 +47,7 @@
     return entries;
 }
 
-// One message of each variant, in the variant's order.
+// One random message of each alternative of SlotMessage, in the order of the variant.
 inline std::vector<SlotMessage> oneOfEach()
 {
     return {
@@ -61,7 +61,7 @@
     };
 }
 
-// Finds the fields() of its element type when it is used.
+// Argument-dependent lookup finds the overload of fields() for the element type, which is declared below.
 template <typename Element> auto allFields(const std::vector<Element>& list)
 {
     std::vector<decltype(fields(list.front()))> all;
--- a/tests/node/gossip_test.cpp
+++ b/tests/node/gossip_test.cpp
@@ -19,7 +19,8 @@
             { "10.0.0.1", 80 } };
     }
 
-    // What an incarnation says is fixed by its sequence, but for usage, which some paths leave out.
+    // A digest of one of a few nodes. Its content is determined by incarnation and sequence, except that usage may be
+    // missing, as it is in digests that come from another availability zone.
     NodeDigest anyDigestOfFew()
     {
         auto name = *rc::gen::inRange<size_t>(1, 4);
@@ -96,7 +97,7 @@
         table.merge(late);
         const NodeDigest* back = table.find(incarnation);
         RC_ASSERT((!back || (!forGood && back->sequence > last.sequence)));
-        // Of one name only the newest incarnation is ever there.
+        // Only the newest incarnation of a name is in the table.
         RC_ASSERT(
             (!table.find(late.node.id.incarnation) || table.newestOf(late.node.id.name) == late.node.id.incarnation));
     }
@@ -116,7 +117,7 @@
     EXPECT_EQ(one.table().size(), 3u);
     EXPECT_EQ(two.table().size(), 3u);
     EXPECT_EQ(one.table().find(13)->configVersion, 6u);
-    // A second exchange with nothing new ends with the first answer.
+    // A second exchange, without changes in between, ends with the first reply.
     EXPECT_TRUE(two.answer(one.open()).empty());
 }
 
@@ -153,7 +154,7 @@
     EXPECT_FALSE(listed.provenGone(id));
     listed.update({}, start);
     EXPECT_FALSE(listed.provenGone(id));
-    EXPECT_FALSE(listed.provenGone(id)); // No update since: a list that is down proves nothing.
+    EXPECT_FALSE(listed.provenGone(id)); // There was no update since, and time without updates does not count.
     listed.update({}, start + Milliseconds(1000));
     EXPECT_TRUE(listed.provenGone(id));
     std::vector<NodeInfo> back { node(1, 5) };
@@ -186,7 +187,7 @@
         RC_ASSERT((verdict.targetDied || verdict.target == paused));
 }
 
-// A process that stood still must not blame those that it did not hear meanwhile.
+// After a pause of its own process, a node must not suspect the nodes whose answers it missed during the pause.
 TEST(Detector, APausedNodeSuspectsNobodyWhenItWakes)
 {
     SimulationOptions options;
@@ -220,7 +221,7 @@
     };
     tickFor(60);
     EXPECT_EQ(detector.liveness(12), Liveness::Suspect);
-    // A second observer's word, and time.
+    // A second observer suspects the node, and the suspicion time has passed.
     NodeDigest second;
     second.node = node(4, 14);
     second.sequence = 1;
@@ -228,7 +229,7 @@
     table.merge(second);
     tickFor(1);
     EXPECT_EQ(detector.liveness(12), Liveness::Dead);
-    // News from it that is newer than the suspicion brings it back.
+    // A digest with a higher sequence than the suspicion's refutes the verdict.
     table.forget(12, false);
     tickFor(1);
     EXPECT_EQ(detector.liveness(12), Liveness::Dead);
@@ -257,7 +258,8 @@
     EXPECT_EQ(detector.takeLost(), std::vector<uint64_t> { 12 });
 }
 
-// Three real nodes on loopback: they find each other through seeds, share a text and lose one that stops.
+// Three nodes with real transports on loopback. They discover each other through seeds, spread a configuration and
+// detect that one node has stopped.
 TEST(ClusterView, NodesFindShareAndLoseEachOther)
 {
     struct Member {
--- a/tests/node/membershipbench_test.cpp
+++ b/tests/node/membershipbench_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // Comma-separated cluster sizes from the environment, to print the whole tables; one small size otherwise.
+    // Cluster sizes from KUMQUATPICK_BENCH_SIZES, separated by commas. The default is one small cluster.
     std::vector<size_t> sizes()
     {
         const char* text = std::getenv("KUMQUATPICK_BENCH_SIZES");
@@ -54,16 +54,16 @@
     for (const auto& row : tables.at(0).rows) {
         if (row[2] != "gossip")
             continue;
-        EXPECT_LE(std::stod(row[4]), mostKilobytes) << "at " << row[0] << " nodes";
+        EXPECT_LE(std::stod(row[4]), mostKilobytes) << "kB/s of the busiest node at " << row[0] << " nodes";
     }
     for (const auto& row : tables.at(1).rows) {
         if (row[2] != "gossip")
             continue;
-        EXPECT_EQ(row[5], "0") << "missed at " << row[0] << " nodes, " << row[1];
+        EXPECT_EQ(row[5], "0") << "dead nodes not detected at " << row[0] << " nodes, " << row[1];
         EXPECT_EQ(row[7], "0") << "false verdicts at " << row[0] << " nodes, " << row[1];
     }
     for (const auto& row : tables.at(2).rows)
-        EXPECT_EQ(row[6], "0") << "unreached at " << row[0] << " nodes, " << row[1];
+        EXPECT_EQ(row[6], "0") << "nodes without the new configuration at " << row[0] << " nodes, " << row[1];
 }
 
 } // namespace Kumquatpick
--- a/tests/node/transport_test.cpp
+++ b/tests/node/transport_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-    // Long enough that only a fault reaches it.
+    // Time-out for operations that should succeed. It is long enough to expire only if there is a fault.
     constexpr Milliseconds patience { 20000 };
 
     NodeInfo nodeNamed(std::string name, uint64_t incarnation, uint16_t port = 0)
@@ -60,7 +60,7 @@
         return error ? error->code : ErrorCode::Internal;
     }
 
-    // Takes connections and never answers.
+    // Accepts connections and never answers.
     class SilentListener {
     public:
         SilentListener()
@@ -160,7 +160,7 @@
     message.unknown = *rc::gen::arbitrary<std::vector<uint64_t>>();
     message.updates.push_back(anyDigest());
     auto decoded = decodeGossip(encode(message));
-    // An update without a name leaves out the rest of the node too.
+    // The encoding omits all node fields but the incarnation if the name is empty.
     if (message.updates[0].node.id.name.empty())
         message.updates[0].node = { { {}, message.updates[0].node.id.incarnation }, {}, {}, {} };
     RC_ASSERT(fields(decoded.value()) == fields(message));
@@ -205,7 +205,7 @@
     EXPECT_EQ(reply.wanted, (std::vector<uint64_t> { 5, 99 }));
 }
 
-// A handler may send from the RPC thread; a blocking call there is an error and not a deadlock.
+// A handler may send on the RPC thread. A blocking call on that thread must return an error instead of deadlocking.
 TEST(Transport, HandlersMaySendButNotBlock)
 {
     Inbox inbox;
@@ -233,7 +233,7 @@
     NodeInfo target = gone->self();
     EXPECT_EQ(node->hello(target.peerAddress, patience).value(), target);
     gone.reset();
-    // The kept connection may still take a last call; after that nothing is sent.
+    // The first call may still be sent on the old connection. After it, nothing can be sent.
     ErrorCode first = codeOf([&] { return node->hello(target.peerAddress, patience); });
     EXPECT_TRUE(first == ErrorCode::Unreachable || first == ErrorCode::BrokenOff);
     EXPECT_EQ(codeOf([&] { return node->hello(target.peerAddress, patience); }), ErrorCode::Unreachable);
@@ -249,18 +249,18 @@
     EXPECT_EQ(node->hello(before.peerAddress, patience).value().id.incarnation, 2u);
     old.reset();
     auto restarted = startNode(nodeNamed("n2", 3, before.peerAddress.port), { inbox.receiver(), {}, {}, {} });
-    // The first call may meet the end of the old connection.
+    // The first call may fail because the old connection is being closed.
     auto first = settle([&] { return node->hello(before.peerAddress, patience); });
     const Error* error = std::get_if<Error>(&first);
     EXPECT_TRUE(!error || error->code == ErrorCode::BrokenOff);
     EXPECT_EQ(node->hello(before.peerAddress, patience).value().id.incarnation, 3u);
-    // What was meant for the old process is not taken by the new one.
+    // A message for the old incarnation is dropped by the new one.
     node->send(before, RecordReply { 1, 1, 1, true });
     node->send(restarted->self(), RecordReply { 2, 2, 2, true });
     auto received = inbox.waitFor(1);
     ASSERT_EQ(received.size(), 1u);
     EXPECT_TRUE(same(received[0], RecordReply { 2, 2, 2, true }));
-    // A probe for the old incarnation says that it is not there.
+    // An indirect probe for the old incarnation reports that it was not reached.
     auto third = startNode(nodeNamed("n3", 4));
     EXPECT_FALSE(node->probeThrough(third->self().peerAddress, before, patience).value());
     EXPECT_TRUE(node->probeThrough(third->self().peerAddress, restarted->self(), patience).value());
@@ -284,7 +284,7 @@
     RC_ASSERT(node->hello(peer->self().peerAddress, patience).value() == peer->self());
 }
 
-// Announces a message far above the limit: closed without waiting for the rest.
+// A message header announces a size far above the limit. The connection must be closed without waiting for the data.
 TEST(Transport, TooLargeAMessageIsCutOff)
 {
     auto peer = startNode(nodeNamed("n1", 7));
@@ -304,7 +304,7 @@
     EXPECT_EQ(codeOf([&] { return NodeTransport::start(taken, {}); }), ErrorCode::InvalidArgument);
 }
 
-// A peer that takes nothing in costs a bounded backlog; the rest is dropped and counted.
+// The backlog of a peer that does not read is limited. Further messages are dropped and counted.
 TEST(Transport, BacklogOfASilentPeerIsBounded)
 {
     constexpr uint64_t messages = 5000;
@@ -313,13 +313,13 @@
     auto other = startNode(nodeNamed("n2", 2));
     for (uint64_t i = 0; i < messages; ++i)
         node->send({ {}, {}, listener.address(), {} }, RecordReply { 1, 1, i, true });
-    // Tasks run in order: an answer to this says that the sends have been looked at.
+    // Tasks run in order, so all sends have been processed when this call returns.
     EXPECT_EQ(node->hello(other->self().peerAddress, patience).value(), other->self());
     EXPECT_GT(node->droppedSends(), messages / 2);
     EXPECT_LT(node->droppedSends(), messages);
 }
 
-// Calls in flight end when the transport does.
+// Calls in flight must fail with ShuttingDown when the transport is destroyed.
 TEST(Transport, ShutdownLeavesNobodyWaiting)
 {
     SilentListener listener;
