--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -77,7 +77,7 @@
     Parts& parts = *m_parts;
     logLine(LogLevel::Info, "stop begins", { { "step", name(Step::Stop) } });
     parts.stopping = true;
-    parts.cluster.nudge();
+    parts.cluster.requestGossipRound();
     waitFor([] { return false; }, monotonicNow() + entriesTimeToLive);
     parts.callers->beginDrain();
     auto limit
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -153,7 +153,7 @@
     const RecordBody& body = record.logged.record.body;
     if (std::holds_alternative<ConfigProposal>(body)) {
         reader.withState([&](const State& state) { config.update(state.config()); });
-        cluster.nudge();
+        cluster.requestGossipRound();
     } else if (auto* proposal = std::get_if<SlotsProposal>(&body)) {
         std::vector<uint32_t> changed;
         for (const auto& change : proposal->changes)
@@ -221,13 +221,13 @@
     std::vector<NodeInfo> entries;
     for (const auto& entry : list->entries)
         entries.push_back(entry.node);
-    cluster.setListed(std::move(entries));
+    cluster.setListedNodes(std::move(entries));
 }
 
 // Another process runs under this node's name: peers believe that one, and take this one for dead.
 void Daemon::Parts::stopIfReplaced()
 {
-    if (stopping || !cluster.replaced())
+    if (stopping || !cluster.isReplaced())
         return;
     logLine(LogLevel::Error, "a newer process has this node's name; stopping", { { "name", self.id.name } });
     stopping = true;
@@ -277,7 +277,7 @@
 
 void Daemon::Parts::gossiped()
 {
-    auto usage = cluster.othersUsage();
+    auto usage = cluster.otherNodesUsage();
     admission.setRemoteUsage(usage);
     suspicion.merge(cluster.suspicions(), monotonicNow());
     std::lock_guard lock(usageMutex);
@@ -333,7 +333,7 @@
 {
     auto outcome = publishText(appender, config.version(), request, monotonicNow() + publishTimeout);
     if (outcome.kind == PublishOutcome::Kind::Accepted)
-        cluster.nudge();
+        cluster.requestGossipRound();
     // The version before the proposal is not what it lost to.
     if (outcome.kind == PublishOutcome::Kind::Outdated) {
         reader.withState([&](const State& state) { config.update(state.config()); });
--- a/src/node/bench_membership.cpp
+++ b/src/node/bench_membership.cpp
@@ -15,13 +15,13 @@
 
     constexpr Milliseconds settleTime { 15'000 };
     constexpr Milliseconds trafficTime { 10'000 };
-    constexpr Milliseconds detectTime { 30'000 };
-    constexpr Milliseconds spreadTime { 10'000 };
+    constexpr Milliseconds detectionTime { 30'000 };
+    constexpr Milliseconds propagationTime { 10'000 };
     constexpr Milliseconds logLongPoll { 2'000 };
     constexpr size_t nodesPerZone = 15;
-    constexpr size_t mostZones = 21;
-    constexpr size_t mostRegions = 6;
-    constexpr size_t spreads = 3;
+    constexpr size_t maxZones = 21;
+    constexpr size_t maxRegions = 6;
+    constexpr size_t publicationCount = 3;
 
     using Detection = SimulationOptions::Detection;
 
@@ -29,8 +29,8 @@
     {
         SimulationOptions options;
         options.nodes = nodes;
-        options.zones = std::clamp<size_t>(nodes / nodesPerZone, 3, mostZones);
-        options.regions = std::clamp<size_t>(options.zones / 3, 1, mostRegions);
+        options.zones = std::clamp<size_t>(nodes / nodesPerZone, 3, maxZones);
+        options.regions = std::clamp<size_t>(options.zones / 3, 1, maxRegions);
         options.seed = seed;
         return options;
     }
@@ -48,12 +48,12 @@
     using Row = std::vector<std::string>;
 
     // The runs are independent. The limit leaves CPU time for other processes on the machine.
-    constexpr int runsAtOnce = 4;
+    constexpr int maxParallelRuns = 4;
 
-    std::vector<Row> inParallel(const std::vector<std::function<Row()>>& runs)
+    std::vector<Row> runParallel(const std::vector<std::function<Row()>>& runs)
     {
         std::vector<Row> rows(runs.size());
-        tbb::task_arena arena(runsAtOnce);
+        tbb::task_arena arena(maxParallelRuns);
         arena.execute([&] { tbb::parallel_for(size_t { 0 }, runs.size(), [&](size_t i) { rows[i] = runs[i](); }); });
         return rows;
     }
@@ -61,7 +61,7 @@
     // Kilobytes per second sent by a node: the average over all nodes and the maximum.
     struct Traffic {
         double mean = 0;
-        double most = 0;
+        double highest = 0;
     };
 
     Traffic measureTraffic(const SimulationOptions& options)
@@ -77,7 +77,7 @@
         for (size_t i = 0; i < options.nodes; ++i) {
             double rate = static_cast<double>(simulation.bytesSent(i) - before[i]) * scale;
             traffic.mean += rate / static_cast<double>(options.nodes);
-            traffic.most = std::max(traffic.most, rate);
+            traffic.highest = std::max(traffic.highest, rate);
         }
         return traffic;
     }
@@ -96,8 +96,8 @@
             sumXx += x * x;
             sumXy += x * y;
         }
-        double spread = count * sumXx - sumX * sumX;
-        return spread == 0 ? 0 : (count * sumXy - sumX * sumY) / spread;
+        double denominator = count * sumXx - sumX * sumX;
+        return denominator == 0 ? 0 : (count * sumXy - sumX * sumY) / denominator;
     }
 
     BenchTable trafficTable(uint64_t seed, std::span<const size_t> sizes)
@@ -116,11 +116,11 @@
                         points[i] = { static_cast<double>(options.nodes), traffic.mean * 1000 };
                     return { fmt::format("{}", options.nodes), fmt::format("{}", options.zones),
                         std::string(label(options.detection)), fmt::format("{:.2f}", traffic.mean),
-                        fmt::format("{:.2f}", traffic.most) };
+                        fmt::format("{:.2f}", traffic.highest) };
                 });
             }
         }
-        table.rows = inParallel(runs);
+        table.rows = runParallel(runs);
         table.rows.push_back({ "", "", "gossip, bytes per additional node", fmt::format("{:.1f}", slope(points)), "" });
         return table;
     }
@@ -128,7 +128,7 @@
     struct Scenario {
         std::string_view name;
         double loss = 0;
-        double lagged = 0;
+        double delayed = 0;
         bool pauses = false;
     };
 
@@ -146,11 +146,11 @@
         if (scenario.pauses) {
             for (size_t i = 0; i < victims; ++i)
                 simulation.pause(simulation.size() - 1 - i, Milliseconds(10'000));
-            simulation.run(detectTime);
+            simulation.run(detectionTime);
         }
         for (size_t i = 0; i < victims; ++i)
             simulation.kill(i);
-        simulation.run(detectTime);
+        simulation.run(detectionTime);
     }
 
     Row detectionRow(const SimulationOptions& options, const Scenario& scenario)
@@ -158,16 +158,16 @@
         size_t victims = std::max<size_t>(1, options.nodes / 20);
         MembershipSimulation simulation(options);
         runScenario(simulation, scenario, victims);
-        double killedAt = toSeconds(simulation.now() - detectTime);
+        double killedAt = toSeconds(simulation.now() - detectionTime);
         std::vector<double> seconds;
-        size_t wrong = 0;
-        size_t ofPaused = 0;
-        size_t ofWoken = 0;
+        size_t falseVerdicts = 0;
+        size_t pausedTargets = 0;
+        size_t resumedTargets = 0;
         for (const SimulatedVerdict& verdict : simulation.verdicts()) {
             if (verdict.targetDied)
                 seconds.push_back(toSeconds(verdict.at) - killedAt);
             else
-                ++(verdict.targetPaused ? ofPaused : verdict.targetWoken ? ofWoken : wrong);
+                ++(verdict.targetPaused ? pausedTargets : verdict.targetResumed ? resumedTargets : falseVerdicts);
         }
         size_t missed = 0;
         for (size_t observer = victims; observer < options.nodes; ++observer) {
@@ -176,8 +176,8 @@
         }
         return { fmt::format("{}", options.nodes), std::string(scenario.name), std::string(label(options.detection)),
             fmt::format("{:.1f}", quantile(seconds, 0.5)), fmt::format("{:.1f}", quantile(seconds, 0.99)),
-            fmt::format("{}", missed), fmt::format("{}", simulation.falseSuspicions()), fmt::format("{}", wrong),
-            fmt::format("{}", ofPaused), fmt::format("{}", ofWoken) };
+            fmt::format("{}", missed), fmt::format("{}", simulation.falseSuspicions()),
+            fmt::format("{}", falseVerdicts), fmt::format("{}", pausedTargets), fmt::format("{}", resumedTargets) };
     }
 
     BenchTable detectionTable(uint64_t seed, std::span<const size_t> sizes)
@@ -193,31 +193,31 @@
                     SimulationOptions options = optionsFor(nodes, seed);
                     options.detection = detection;
                     options.loss = scenario.loss;
-                    options.lagged = scenario.lagged;
+                    options.delayed = scenario.delayed;
                     runs.emplace_back([options, &scenario] { return detectionRow(options, scenario); });
                 }
             }
         }
-        table.rows = inParallel(runs);
+        table.rows = runParallel(runs);
         return table;
     }
 
-    std::vector<double> spreadByGossip(const SimulationOptions& options, size_t& unreached)
+    std::vector<double> gossipPropagationDelays(const SimulationOptions& options, size_t& unreached)
     {
         MembershipSimulation simulation(options);
         simulation.run(settleTime);
         std::vector<double> seconds;
-        for (size_t i = 0; i < spreads; ++i) {
+        for (size_t i = 0; i < publicationCount; ++i) {
             Offset version = 2 + i;
-            double published = toSeconds(simulation.now());
+            double publishedAt = toSeconds(simulation.now());
             simulation.publish(i % options.nodes, version);
-            simulation.run(spreadTime);
+            simulation.run(propagationTime);
             for (size_t node = 0; node < options.nodes; ++node) {
-                auto adopted = simulation.adoptedAt(node, version);
+                auto adoptedTime = simulation.adoptedAt(node, version);
                 if (node == i % options.nodes)
                     continue;
-                if (adopted)
-                    seconds.push_back(toSeconds(*adopted) - published);
+                if (adoptedTime)
+                    seconds.push_back(toSeconds(*adoptedTime) - publishedAt);
                 else
                     ++unreached;
             }
@@ -227,14 +227,14 @@
 
     // Models the delay of a log reader, as the simulation does not include the log. When a record is published, the
     // reader's long poll is either waiting at the log or in transit. In the second case the next poll reads the record.
-    std::vector<double> spreadByLog(const SimulationOptions& options)
+    std::vector<double> logPropagationDelays(const SimulationOptions& options)
     {
-        constexpr double nearLatency = 0.0018;
-        constexpr double farLatency = 0.09;
+        constexpr double sameRegionLatency = 0.0018;
+        constexpr double otherRegionLatency = 0.09;
         Random random(options.seed);
         std::vector<double> seconds;
-        for (size_t i = 0; i < options.nodes * spreads; ++i) {
-            double latency = i % options.zones % options.regions == 0 ? nearLatency : farLatency;
+        for (size_t i = 0; i < options.nodes * publicationCount; ++i) {
+            double latency = i % options.zones % options.regions == 0 ? sameRegionLatency : otherRegionLatency;
             double wait = toSeconds(logLongPoll);
             double phase = std::uniform_real_distribution<double>(0, wait + 2 * latency)(random);
             double untilWaiting = std::max(0.0, phase - wait);
@@ -243,36 +243,37 @@
         return seconds;
     }
 
-    Row spreadRow(size_t nodes, std::string_view way, const std::vector<double>& seconds, size_t unreached)
+    Row propagationRow(size_t nodes, std::string_view method, const std::vector<double>& seconds, size_t unreached)
     {
         double period = toSeconds(GossipOptions {}.period);
-        double most = seconds.empty() ? 0 : std::ranges::max(seconds);
-        return { fmt::format("{}", nodes), std::string(way), fmt::format("{:.3f}", quantile(seconds, 0.5)),
-            fmt::format("{:.3f}", quantile(seconds, 0.99)), fmt::format("{:.3f}", most),
-            fmt::format("{:.1f}", most / period), fmt::format("{}", unreached) };
+        double highest = seconds.empty() ? 0 : std::ranges::max(seconds);
+        return { fmt::format("{}", nodes), std::string(method), fmt::format("{:.3f}", quantile(seconds, 0.5)),
+            fmt::format("{:.3f}", quantile(seconds, 0.99)), fmt::format("{:.3f}", highest),
+            fmt::format("{:.1f}", highest / period), fmt::format("{}", unreached) };
     }
 
-    Row gossipSpreadRow(const SimulationOptions& options, std::string_view way)
+    Row gossipPropagationRow(const SimulationOptions& options, std::string_view method)
     {
         size_t unreached = 0;
-        std::vector<double> seconds = spreadByGossip(options, unreached);
-        return spreadRow(options.nodes, way, seconds, unreached);
+        std::vector<double> seconds = gossipPropagationDelays(options, unreached);
+        return propagationRow(options.nodes, method, seconds, unreached);
     }
 
-    BenchTable spreadTable(uint64_t seed, std::span<const size_t> sizes)
+    BenchTable propagationTable(uint64_t seed, std::span<const size_t> sizes)
     {
         BenchTable table { "membership: seconds until another node has a newly accepted configuration",
             { "nodes", "way", "p50", "p99", "last", "last in rounds", "unreached" }, {} };
         std::vector<std::function<Row()>> runs;
         for (size_t nodes : sizes) {
             SimulationOptions options = optionsFor(nodes, seed);
-            runs.emplace_back(
-                [options] { return spreadRow(options.nodes, "log, long poll (model)", spreadByLog(options), 0); });
-            runs.emplace_back([options] { return gossipSpreadRow(options, "gossip, log down"); });
+            runs.emplace_back([options] {
+                return propagationRow(options.nodes, "log, long poll (model)", logPropagationDelays(options), 0);
+            });
+            runs.emplace_back([options] { return gossipPropagationRow(options, "gossip, log down"); });
             options.loss = 0.05;
-            runs.emplace_back([options] { return gossipSpreadRow(options, "gossip, log down, 5% lost"); });
+            runs.emplace_back([options] { return gossipPropagationRow(options, "gossip, log down, 5% lost"); });
         }
-        table.rows = inParallel(runs);
+        table.rows = runParallel(runs);
         return table;
     }
 
@@ -280,7 +281,7 @@
 
 std::vector<BenchTable> runMembershipBench(uint64_t seed, std::span<const size_t> sizes)
 {
-    return { trafficTable(seed, sizes), detectionTable(seed, sizes), spreadTable(seed, sizes) };
+    return { trafficTable(seed, sizes), detectionTable(seed, sizes), propagationTable(seed, sizes) };
 }
 
 } // namespace Kumquatpick
--- a/src/node/clusterview.cpp
+++ b/src/node/clusterview.cpp
@@ -35,7 +35,7 @@
     Core(const NodeInfo& self, const Settings& settings, Random::result_type seed)
         : gossip(self, settings.gossip)
         , detector(self, settings.detector)
-        , listed(settings.listGrace)
+        , listedNodes(settings.absenceGrace)
         , gossipRandom(seed)
         , detectorRandom(seed + 1)
         , started(monotonicNow())
@@ -44,7 +44,7 @@
 
     Gossip gossip;
     Detector detector;
-    ListedNodes listed;
+    ListedNodes listedNodes;
     Random gossipRandom;
     Random detectorRandom;
     MonotonicTime started;
@@ -73,7 +73,7 @@
 void ClusterView::stop()
 {
     {
-        std::lock_guard lock(m_pauseMutex);
+        std::lock_guard lock(m_waitMutex);
         m_stopping = true;
     }
     m_wake.notify_all();
@@ -83,11 +83,11 @@
     }
 }
 
-void ClusterView::nudge()
+void ClusterView::requestGossipRound()
 {
     {
-        std::lock_guard lock(m_pauseMutex);
-        m_nudged = true;
+        std::lock_guard lock(m_waitMutex);
+        m_roundRequested = true;
     }
     m_wake.notify_all();
 }
@@ -98,15 +98,15 @@
     return m_core ? m_core->gossip.answer(message) : GossipMessage {};
 }
 
-void ClusterView::setListed(std::vector<NodeInfo> nodes)
+void ClusterView::setListedNodes(std::vector<NodeInfo> nodes)
 {
     std::lock_guard lock(m_mutex);
     if (!m_core)
         return;
     MonotonicTime now = monotonicNow();
-    m_core->listed.update(nodes, now);
+    m_core->listedNodes.update(nodes, now);
     for (const NodeInfo& node : nodes)
-        m_core->detector.listed(m_core->gossip.table(), node.id, now);
+        m_core->detector.recordListed(m_core->gossip.table(), node.id, now);
     std::erase_if(
         nodes, [this](const NodeInfo& node) { return node.id.name == m_core->gossip.table().self().id.name; });
     m_core->gossip.setSeeds(std::move(nodes));
@@ -147,41 +147,41 @@
     const DigestTable& table = m_core->gossip.table();
     if (table.find(id.incarnation))
         return m_core->detector.liveness(id.incarnation);
-    if (table.newestOf(id.name) > id.incarnation)
+    if (table.newestIncarnation(id.name) > id.incarnation)
         return Liveness::Gone;
     Liveness verdict = m_core->detector.liveness(id.incarnation);
-    bool stranger = verdict == Liveness::Alive && monotonicNow() - m_core->started >= m_settings.strangerGrace;
-    return stranger ? Liveness::Dead : verdict;
+    bool isUnseen = verdict == Liveness::Alive && monotonicNow() - m_core->started >= m_settings.unseenGrace;
+    return isUnseen ? Liveness::Dead : verdict;
 }
 
-std::vector<NodeId> ClusterView::provenGone(std::span<const NodeId> asked)
+std::vector<NodeId> ClusterView::provenGone(std::span<const NodeId> ids)
 {
     std::vector<NodeId> gone;
     std::lock_guard lock(m_mutex);
     if (!m_core)
         return gone;
     const DigestTable& table = m_core->gossip.table();
-    for (const NodeId& id : asked) {
-        bool heard = table.find(id.incarnation) != nullptr;
-        bool replacedByNewer
-            = table.newestOf(id.name) > id.incarnation || m_core->detector.liveness(id.incarnation) == Liveness::Gone;
-        if (replacedByNewer || (!heard && m_core->listed.provenGone(id)))
+    for (const NodeId& id : ids) {
+        bool isKnown = table.find(id.incarnation) != nullptr;
+        bool replacedByNewer = table.newestIncarnation(id.name) > id.incarnation
+            || m_core->detector.liveness(id.incarnation) == Liveness::Gone;
+        if (replacedByNewer || (!isKnown && m_core->listedNodes.isProvenGone(id)))
             gone.push_back(id);
     }
     return gone;
 }
 
-bool ClusterView::proveGone(const NodeInfo& node, Milliseconds timeout)
+bool ClusterView::newerIncarnationAnswers(const NodeInfo& node, Milliseconds timeout)
 {
     auto answer = settle([&] { return m_transport->hello(node.peerAddress, timeout); });
     const NodeInfo* found = std::get_if<NodeInfo>(&answer);
     return found && found->id.name == node.id.name && found->id.incarnation > node.id.incarnation;
 }
 
-std::vector<TeamUsage> ClusterView::othersUsage() const
+std::vector<TeamUsage> ClusterView::otherNodesUsage() const
 {
     std::lock_guard lock(m_mutex);
-    return m_core ? m_core->gossip.othersUsage() : std::vector<TeamUsage> {};
+    return m_core ? m_core->gossip.otherNodesUsage() : std::vector<TeamUsage> {};
 }
 
 std::vector<SuspicionCount> ClusterView::suspicions() const
@@ -190,31 +190,31 @@
     return m_core ? m_core->gossip.suspicions() : std::vector<SuspicionCount> {};
 }
 
-bool ClusterView::replaced() const
+bool ClusterView::isReplaced() const
 {
     std::lock_guard lock(m_mutex);
-    return m_core && m_core->gossip.table().replaced();
+    return m_core && m_core->gossip.table().isReplaced();
 }
 
 void ClusterView::runGossip()
 {
     do
         gossipRound();
-    while (pause(m_settings.gossip.period, true));
+    while (waitPeriod(m_settings.gossip.period, true));
 }
 
 void ClusterView::runDetector()
 {
-    while (pause(m_settings.detector.probePeriod, false))
+    while (waitPeriod(m_settings.detector.probePeriod, false))
         probeRound();
 }
 
-bool ClusterView::pause(Milliseconds period, bool wakeOnNudge)
+bool ClusterView::waitPeriod(Milliseconds period, bool wakeOnRequest)
 {
-    std::unique_lock lock(m_pauseMutex);
-    m_wake.wait_for(lock, period, [&] { return m_stopping || (wakeOnNudge && m_nudged); });
-    if (wakeOnNudge)
-        m_nudged = false;
+    std::unique_lock lock(m_waitMutex);
+    m_wake.wait_for(lock, period, [&] { return m_stopping || (wakeOnRequest && m_roundRequested); });
+    if (wakeOnRequest)
+        m_roundRequested = false;
     return !m_stopping;
 }
 
@@ -230,9 +230,9 @@
     }
     for (const NodeInfo& peer : peers)
         exchangeWith(peer);
-    fetchNewerText(report.configVersion);
-    if (m_hooks.roundDone)
-        m_hooks.roundDone();
+    fetchNewerConfig(report.configVersion);
+    if (m_hooks.gossipRoundDone)
+        m_hooks.gossipRoundDone();
 }
 
 void ClusterView::exchangeWith(const NodeInfo& peer)
@@ -240,7 +240,7 @@
     GossipMessage message;
     {
         std::lock_guard lock(m_mutex);
-        message = m_core->gossip.open();
+        message = m_core->gossip.openingMessage();
     }
     for (int leg = 0; leg < maxExchangeLegs && !message.empty(); ++leg) {
         auto reply
@@ -252,19 +252,19 @@
     }
 }
 
-void ClusterView::fetchNewerText(Offset have)
+void ClusterView::fetchNewerConfig(Offset currentVersion)
 {
     std::optional<NodeDigest> holder;
     {
         std::lock_guard lock(m_mutex);
-        holder = m_core->gossip.newerConfigHolder(have, m_core->gossipRandom);
+        holder = m_core->gossip.nodeWithNewerConfig(currentVersion, m_core->gossipRandom);
     }
-    if (!holder || !m_hooks.adoptText)
+    if (!holder || !m_hooks.adoptConfig)
         return;
     auto fetched
         = settle([&] { return m_transport->fetchAcceptedText(holder->node.peerAddress, m_settings.exchangeTimeout); });
-    if (const AcceptedText* text = std::get_if<AcceptedText>(&fetched); text && text->version > have)
-        m_hooks.adoptText(*text);
+    if (const AcceptedText* text = std::get_if<AcceptedText>(&fetched); text && text->version > currentVersion)
+        m_hooks.adoptConfig(*text);
 }
 
 void ClusterView::probeRound()
@@ -276,49 +276,49 @@
         const DigestTable& table = m_core->gossip.table();
         m_core->detector.tick(table, monotonicNow());
         for (uint64_t incarnation : m_core->detector.takeLost()) {
-            Liveness how = m_core->detector.liveness(incarnation);
+            Liveness verdict = m_core->detector.liveness(incarnation);
             if (const NodeDigest* digest = table.find(incarnation))
-                lost.emplace_back(digest->node.id, how);
-            m_core->gossip.forget(incarnation, how == Liveness::Gone);
+                lost.emplace_back(digest->node.id, verdict);
+            m_core->gossip.forget(incarnation, verdict == Liveness::Gone);
         }
         plan = m_core->detector.nextProbe(table, m_core->detectorRandom);
     }
-    for (const auto& [id, how] : lost) {
-        logLine(LogLevel::Warning, "node lost", { { "node", id.name }, { "verdict", name(how) } });
+    for (const auto& [id, verdict] : lost) {
+        logLine(LogLevel::Warning, "node lost", { { "node", id.name }, { "verdict", name(verdict) } });
         if (m_hooks.nodeLost)
-            m_hooks.nodeLost(id, how);
+            m_hooks.nodeLost(id, verdict);
     }
     if (!plan)
         return;
-    ProbeResult result = carryOut(*plan);
+    ProbeResult result = executeProbe(*plan);
     std::lock_guard lock(m_mutex);
-    m_core->detector.probed(m_core->gossip.table(), result, monotonicNow());
+    m_core->detector.recordProbe(m_core->gossip.table(), result, monotonicNow());
 }
 
 // Sends indirect probes through all helpers in parallel, only if the direct probe fails.
-ProbeResult ClusterView::carryOut(const ProbePlan& plan)
+ProbeResult ClusterView::executeProbe(const ProbePlan& plan)
 {
     ProbeResult result;
     result.target = plan.target.id.incarnation;
-    result.began = monotonicNow();
+    result.startedAt = monotonicNow();
     Milliseconds timeout = m_settings.detector.probeTimeout;
     auto direct = settle([&] { return m_transport->hello(plan.target.peerAddress, timeout); });
     if (const NodeInfo* found = std::get_if<NodeInfo>(&direct))
         result.answeredBy = found->id;
     if (result.answeredBy)
         return result;
-    using Word = std::variant<bool, Error>;
-    std::vector<std::future<Word>> words;
-    words.reserve(plan.helpers.size());
+    using ProbeReply = std::variant<bool, Error>;
+    std::vector<std::future<ProbeReply>> pendingReplies;
+    pendingReplies.reserve(plan.helpers.size());
     for (const NodeInfo& helper : plan.helpers) {
-        words.push_back(std::async(std::launch::async, [this, &plan, &helper, timeout] {
+        pendingReplies.push_back(std::async(std::launch::async, [this, &plan, &helper, timeout] {
             return settle([&] { return m_transport->probeThrough(helper.peerAddress, plan.target, timeout * 3 / 2); });
         }));
     }
-    for (std::future<Word>& word : words) {
-        Word said = word.get();
-        const bool* reached = std::get_if<bool>(&said);
-        ++(!reached ? result.helpersSilent : *reached ? result.helpersReached : result.helpersMissed);
+    for (std::future<ProbeReply>& pendingReply : pendingReplies) {
+        ProbeReply probeReply = pendingReply.get();
+        const bool* reached = std::get_if<bool>(&probeReply);
+        ++(!reached ? result.unansweredHelpers : *reached ? result.helperSuccesses : result.helperFailures);
     }
     return result;
 }
--- a/src/node/clusterview.h
+++ b/src/node/clusterview.h
@@ -20,8 +20,8 @@
 struct ClusterHooks {
     std::function<OwnReport()> ownReport; // The view fills in the suspects itself.
     // Receives a newer accepted configuration from a peer, which works also while the log is unavailable.
-    std::function<void(const AcceptedText&)> adoptText;
-    std::function<void()> roundDone; // Called after each gossip round, when usage and suspicions are up to date.
+    std::function<void(const AcceptedText&)> adoptConfig;
+    std::function<void()> gossipRoundDone; // Called after each gossip round, when usage and suspicions are up to date.
     std::function<void(const NodeId&, Liveness)> nodeLost; // The node became Dead or Gone.
 };
 
@@ -33,9 +33,9 @@
         DetectorOptions detector;
         Milliseconds exchangeTimeout { 1000 };
         // A node that is absent from the membership list for this long counts as Gone.
-        Milliseconds listGrace { 60'000 };
+        Milliseconds absenceGrace { 60'000 };
         // A node that has appeared in no digest by this long after the start counts as Dead.
-        Milliseconds strangerGrace { 15'000 };
+        Milliseconds unseenGrace { 15'000 };
     };
 
     ClusterView(ClusterHooks, Settings, Random::result_type seed);
@@ -47,13 +47,13 @@
     void start(NodeTransport&);
     void stop();
     // Starts a gossip round at once, so that a newly accepted configuration or a planned stop spreads without delay.
-    void nudge();
+    void requestGossipRound();
 
     // Handles a gossip message from a peer; the implementation of PeerHandlers::exchangeDigests.
     GossipMessage answer(const GossipMessage&);
     // Sets the nodes of the membership list. To be called after each read of the list. The incarnation is 0 where
     // the list gives none.
-    void setListed(std::vector<NodeInfo>);
+    void setListedNodes(std::vector<NodeInfo>);
 
     // Digests of all nodes that are not Dead or Gone, including this node.
     std::vector<NodeDigest> digests() const;
@@ -66,12 +66,12 @@
     // Returns those of the given incarnations that are proven to have ended for good.
     std::vector<NodeId> provenGone(std::span<const NodeId>);
     // Whether a newer incarnation with the same name answers at the node's address. Blocks.
-    bool proveGone(const NodeInfo&, Milliseconds timeout);
+    bool newerIncarnationAnswers(const NodeInfo&, Milliseconds timeout);
 
-    std::vector<TeamUsage> othersUsage() const;
+    std::vector<TeamUsage> otherNodesUsage() const;
     std::vector<SuspicionCount> suspicions() const;
     // Whether a newer incarnation with this node's name has appeared in gossip. This process must then stop.
-    bool replaced() const;
+    bool isReplaced() const;
 
 private:
     struct Core;
@@ -80,21 +80,21 @@
     void runDetector();
     void gossipRound();
     void exchangeWith(const NodeInfo&);
-    void fetchNewerText(Offset have);
+    void fetchNewerConfig(Offset currentVersion);
     void probeRound();
-    ProbeResult carryOut(const ProbePlan&);
+    ProbeResult executeProbe(const ProbePlan&);
     // Waits for the period to end. Returns false if the view is stopping.
-    bool pause(Milliseconds, bool wakeOnNudge);
+    bool waitPeriod(Milliseconds, bool wakeOnRequest);
 
     const ClusterHooks m_hooks;
     const Settings m_settings;
     NodeTransport* m_transport = nullptr;
     mutable std::mutex m_mutex; // Guards the core.
     std::unique_ptr<Core> m_core;
-    std::mutex m_pauseMutex;
+    std::mutex m_waitMutex;
     std::condition_variable m_wake;
     bool m_stopping = false;
-    bool m_nudged = false;
+    bool m_roundRequested = false;
     Random::result_type m_seed;
     std::thread m_gossipThread;
     std::thread m_detectorThread;
--- a/src/node/codec.cpp
+++ b/src/node/codec.cpp
@@ -104,7 +104,7 @@
         { PermitAnswer::Undecided, Rpc::PermitAnswer::UNDECIDED },
     };
 
-    Rpc::PermitAnswer onWire(PermitAnswer answer)
+    Rpc::PermitAnswer toWire(PermitAnswer answer)
     {
         for (const auto& [ours, theirs] : permitAnswers) {
             if (ours == answer)
@@ -136,7 +136,7 @@
             reply.setKey(text(in.key));
             reply.setAttempt(in.attempt);
             write(reply.initArrival(), in.arrival);
-            reply.setAnswer(onWire(in.answer));
+            reply.setAnswer(toWire(in.answer));
             write(reply.initEntry(), in.entry);
         }
 
--- a/src/node/detector.cpp
+++ b/src/node/detector.cpp
@@ -8,14 +8,14 @@
 namespace {
 
     // An interval of at least this many periods between ticks means that this process was paused.
-    constexpr int pausePeriods = 3;
+    constexpr int minPausePeriods = 3;
     // Failed probes are ignored for this many periods after a pause, as this node may have caused the failures.
-    constexpr int distrustPeriods = 2;
-    constexpr size_t wordsForDeath = 2;
-    constexpr size_t maxLostRemembered = 8192;
+    constexpr int failureIgnorePeriods = 2;
+    constexpr size_t minVotesForDead = 2;
+    constexpr size_t maxLostNodes = 8192;
     // A dead node stays in this node's published suspects for this long, so that other nodes can count this
     // observer until they reach their own verdict.
-    constexpr std::chrono::seconds mentionTime { 30 };
+    constexpr std::chrono::seconds lostPublishDuration { 30 };
 
     template <typename Element> void shuffle(std::vector<Element>& elements, Random& random)
     {
@@ -32,78 +32,78 @@
 
 void Detector::tick(const DigestTable& table, MonotonicTime now)
 {
-    noticeOwnPause(now);
+    detectOwnPause(now);
     dropRefuted(table);
-    stopMentioningLost(now);
-    learnSuspicions(table, now);
-    judge(table, now);
+    expirePublishedLost(now);
+    mergeSuspicions(table, now);
+    declareDead(table, now);
 }
 
 std::optional<ProbePlan> Detector::nextProbe(const DigestTable& table, Random& random)
 {
     // Every second probe goes to a node that this node suspects, if any, so that a wrong suspicion is refuted soon.
-    m_reprobe = !m_reprobe;
-    std::vector<uint64_t> ours;
+    m_probeSuspectNext = !m_probeSuspectNext;
+    std::vector<uint64_t> ownSuspected;
     for (const auto& [incarnation, suspicion] : m_suspicions) {
-        if (suspicion.own && table.find(incarnation))
-            ours.push_back(incarnation);
+        if (suspicion.isOwn && table.find(incarnation))
+            ownSuspected.push_back(incarnation);
     }
     uint64_t target = 0;
-    if (m_reprobe && !ours.empty()) {
-        target = ours[std::uniform_int_distribution<size_t>(0, ours.size() - 1)(random)];
+    if (m_probeSuspectNext && !ownSuspected.empty()) {
+        target = ownSuspected[std::uniform_int_distribution<size_t>(0, ownSuspected.size() - 1)(random)];
     } else {
-        refillOrder(table, random);
-        while (!m_order.empty() && !table.find(m_order.back()))
-            m_order.pop_back();
-        if (m_order.empty())
+        refillProbeOrder(table, random);
+        while (!m_probeOrder.empty() && !table.find(m_probeOrder.back()))
+            m_probeOrder.pop_back();
+        if (m_probeOrder.empty())
             return {};
-        target = m_order.back();
-        m_order.pop_back();
+        target = m_probeOrder.back();
+        m_probeOrder.pop_back();
     }
     return ProbePlan { table.find(target)->node, pickHelpers(table, target, random) };
 }
 
-void Detector::probed(const DigestTable& table, const ProbeResult& result, MonotonicTime now)
+void Detector::recordProbe(const DigestTable& table, const ProbeResult& result, MonotonicTime now)
 {
-    noticeOwnPause(now);
+    detectOwnPause(now);
     const NodeDigest* target = table.find(result.target);
     if (!target)
         return;
     bool answered = result.answeredBy && *result.answeredBy == target->node.id;
-    if (answered || result.helpersReached > 0) {
-        adjustHealth(-1);
+    if (answered || result.helperSuccesses > 0) {
+        adjustHealthPenalty(-1);
         if (auto found = m_suspicions.find(result.target); found != m_suspicions.end())
-            found->second.own = false;
+            found->second.isOwn = false;
         return;
     }
     if (result.answeredBy && result.answeredBy->name == target->node.id.name
         && result.answeredBy->incarnation > result.target) {
-        lose(result.target, Liveness::Gone, now);
+        markLost(result.target, Liveness::Gone, now);
         return;
     }
-    if (distrustsItself(now) || result.began <= m_pauseNoticed)
+    if (ignoresFailedProbes(now) || result.startedAt <= m_pauseDetectedAt)
         return;
     // If none of the helpers answers either, the fault is probably on this node.
-    if (result.helpersMissed == 0 && result.helpersSilent > 0) {
-        adjustHealth(1);
+    if (result.helperFailures == 0 && result.unansweredHelpers > 0) {
+        adjustHealthPenalty(1);
         return;
     }
     suspect(table, result, now);
 }
 
-void Detector::listed(const DigestTable& table, const NodeId& id, MonotonicTime now)
+void Detector::recordListed(const DigestTable& table, const NodeId& id, MonotonicTime now)
 {
     table.forEach([&](const NodeDigest& digest) {
         const NodeId& known = digest.node.id;
         if (known.name == id.name && known.incarnation < id.incarnation && known != m_self.id)
-            lose(known.incarnation, Liveness::Gone, now);
+            markLost(known.incarnation, Liveness::Gone, now);
     });
 }
 
 Liveness Detector::liveness(uint64_t incarnation) const
 {
     if (auto lost = m_lost.find(incarnation); lost != m_lost.end())
-        return lost->second.how;
+        return lost->second.verdict;
     return m_suspicions.contains(incarnation) ? Liveness::Suspect : Liveness::Alive;
 }
 
@@ -111,11 +111,11 @@
 {
     std::vector<IncarnationSequence> suspects;
     for (const auto& [incarnation, suspicion] : m_suspicions) {
-        if (suspicion.own)
+        if (suspicion.isOwn)
             suspects.push_back({ incarnation, suspicion.sequence });
     }
     for (const auto& [incarnation, lost] : m_lost) {
-        if (lost.mention)
+        if (lost.isPublished)
             suspects.push_back({ incarnation, lost.sequence });
     }
     std::ranges::sort(suspects, {}, &IncarnationSequence::incarnation);
@@ -126,34 +126,34 @@
 
 // Answers may have been missed during a pause of this process. This node's own suspicions are therefore dropped, and
 // the time-outs of the other nodes' suspicions start again.
-void Detector::noticeOwnPause(MonotonicTime now)
+void Detector::detectOwnPause(MonotonicTime now)
 {
     MonotonicTime last = m_lastTick.value_or(now);
     m_lastTick = now;
-    if (now - last < m_options.probePeriod * pausePeriods)
+    if (now - last < m_options.probePeriod * minPausePeriods)
         return;
-    m_pauseNoticed = now;
-    m_distrustUntil = now + m_options.probePeriod * distrustPeriods;
+    m_pauseDetectedAt = now;
+    m_ignoreFailuresUntil = now + m_options.probePeriod * failureIgnorePeriods;
     for (auto& [incarnation, suspicion] : m_suspicions) {
-        suspicion.own = false;
+        suspicion.isOwn = false;
         suspicion.since = now;
     }
 }
 
 // Counts, for each suspect, the observers whose latest digest suspects it at its latest known sequence or a higher one.
-void Detector::learnSuspicions(const DigestTable& table, MonotonicTime now)
+void Detector::mergeSuspicions(const DigestTable& table, MonotonicTime now)
 {
-    std::map<uint64_t, size_t> words;
+    std::map<uint64_t, size_t> votes;
     table.forEach([&](const NodeDigest& observer) {
         if (observer.node.id == m_self.id || liveness(observer.node.id.incarnation) >= Liveness::Dead)
             return;
         for (const IncarnationSequence& entry : observer.suspects) {
             const NodeDigest* suspect = table.find(entry.incarnation);
             if (suspect && entry.incarnation != m_self.id.incarnation && suspect->sequence <= entry.sequence)
-                ++words[entry.incarnation];
+                ++votes[entry.incarnation];
         }
     });
-    for (const auto& [incarnation, count] : words) {
+    for (const auto& [incarnation, count] : votes) {
         auto [found, isNew] = m_suspicions.try_emplace(incarnation);
         if (isNew) {
             found->second.sequence = table.find(incarnation)->sequence;
@@ -161,10 +161,11 @@
         }
     }
     for (auto& [incarnation, suspicion] : m_suspicions) {
-        auto found = words.find(incarnation);
-        suspicion.observers = found == words.end() ? 0 : found->second;
+        auto found = votes.find(incarnation);
+        suspicion.observerCount = found == votes.end() ? 0 : found->second;
     }
-    std::erase_if(m_suspicions, [](const auto& entry) { return !entry.second.own && entry.second.observers == 0; });
+    std::erase_if(
+        m_suspicions, [](const auto& entry) { return !entry.second.isOwn && entry.second.observerCount == 0; });
 }
 
 // A digest with a higher sequence shows that the suspect was alive after the suspicion began. The suspect is probed
@@ -175,34 +176,34 @@
     std::erase_if(m_suspicions, [&](const auto& entry) {
         const NodeDigest* digest = table.find(entry.first);
         bool refuted = !digest || digest->sequence > entry.second.sequence;
-        if (refuted && entry.second.own)
-            m_order.push_back(entry.first);
+        if (refuted && entry.second.isOwn)
+            m_probeOrder.push_back(entry.first);
         return refuted;
     });
     std::erase_if(
-        m_lost, [&](const auto& entry) { return entry.second.how == Liveness::Dead && table.find(entry.first); });
+        m_lost, [&](const auto& entry) { return entry.second.verdict == Liveness::Dead && table.find(entry.first); });
 }
 
-void Detector::stopMentioningLost(MonotonicTime now)
+void Detector::expirePublishedLost(MonotonicTime now)
 {
     for (auto& [incarnation, lost] : m_lost) {
-        if (now - lost.since >= mentionTime)
-            lost.mention = false;
+        if (now - lost.since >= lostPublishDuration)
+            lost.isPublished = false;
     }
 }
 
-void Detector::judge(const DigestTable& table, MonotonicTime now)
+void Detector::declareDead(const DigestTable& table, MonotonicTime now)
 {
     std::vector<uint64_t> dead;
     for (const auto& [incarnation, suspicion] : m_suspicions) {
         // This node's own suspicion counts as two observers if a helper also failed to reach the target.
-        size_t words = suspicion.observers + (suspicion.own ? (suspicion.alone ? 1 : wordsForDeath) : 0);
-        bool enough = words >= wordsForDeath || suspicion.alone;
-        if (enough && now - suspicion.since >= timeToDeath(suspicion, table.size()))
+        size_t votes = suspicion.observerCount + (suspicion.isOwn ? (suspicion.hadNoHelper ? 1 : minVotesForDead) : 0);
+        bool enough = votes >= minVotesForDead || suspicion.hadNoHelper;
+        if (enough && now - suspicion.since >= timeToDeadVerdict(suspicion, table.size()))
             dead.push_back(incarnation);
     }
     for (uint64_t incarnation : dead)
-        lose(incarnation, Liveness::Dead, now);
+        markLost(incarnation, Liveness::Dead, now);
 }
 
 void Detector::suspect(const DigestTable& table, const ProbeResult& result, MonotonicTime now)
@@ -216,34 +217,34 @@
         suspicion.sequence = digest->sequence;
         suspicion.since = now;
     }
-    suspicion.own = true;
-    suspicion.alone = result.helpersMissed == 0;
+    suspicion.isOwn = true;
+    suspicion.hadNoHelper = result.helperFailures == 0;
 }
 
-void Detector::lose(uint64_t incarnation, Liveness how, MonotonicTime now)
+void Detector::markLost(uint64_t incarnation, Liveness verdict, MonotonicTime now)
 {
-    Lost lost { how, now, 0, false };
+    Lost lost { verdict, now, 0, false };
     if (auto found = m_suspicions.find(incarnation); found != m_suspicions.end()) {
         lost.sequence = found->second.sequence;
-        lost.mention = found->second.own && how == Liveness::Dead;
+        lost.isPublished = found->second.isOwn && verdict == Liveness::Dead;
         m_suspicions.erase(found);
     }
     m_lost[incarnation] = lost;
     m_newlyLost.push_back(incarnation);
-    if (m_lost.size() > maxLostRemembered)
+    if (m_lost.size() > maxLostNodes)
         m_lost.erase(m_lost.begin());
 }
 
-void Detector::adjustHealth(int by)
+void Detector::adjustHealthPenalty(int change)
 {
-    m_healthPenalty = std::clamp(m_healthPenalty + by, 0, m_options.maxHealthPenalty);
+    m_healthPenalty = std::clamp(m_healthPenalty + change, 0, m_options.maxHealthPenalty);
 }
 
-std::chrono::nanoseconds Detector::timeToDeath(const Suspicion& suspicion, size_t nodes) const
+std::chrono::nanoseconds Detector::timeToDeadVerdict(const Suspicion& suspicion, size_t nodes) const
 {
     double scale = std::max(1.0, std::log10(static_cast<double>(nodes))) * (1 + m_healthPenalty);
-    if (suspicion.alone && suspicion.observers == 0)
-        scale *= m_options.loneObserverFactor;
+    if (suspicion.hadNoHelper && suspicion.observerCount == 0)
+        scale *= m_options.soleObserverFactor;
     return std::chrono::duration_cast<std::chrono::nanoseconds>(m_options.suspicionTime * scale);
 }
 
@@ -264,15 +265,15 @@
     return helpers;
 }
 
-void Detector::refillOrder(const DigestTable& table, Random& random)
+void Detector::refillProbeOrder(const DigestTable& table, Random& random)
 {
-    if (!m_order.empty())
+    if (!m_probeOrder.empty())
         return;
     table.forEach([&](const NodeDigest& digest) {
         if (digest.node.id != m_self.id)
-            m_order.push_back(digest.node.id.incarnation);
+            m_probeOrder.push_back(digest.node.id.incarnation);
     });
-    shuffle(m_order, random);
+    shuffle(m_probeOrder, random);
 }
 
 } // namespace Kumquatpick
--- a/src/node/detector.h
+++ b/src/node/detector.h
@@ -20,7 +20,7 @@
     Milliseconds suspicionTime { 3000 };
     int maxHealthPenalty = 4;
     // Multiplies the time to the verdict if there was no helper to ask and no other node suspects the target.
-    int loneObserverFactor = 3;
+    int soleObserverFactor = 3;
 };
 
 struct ProbePlan {
@@ -31,11 +31,11 @@
 // Outcome of the probes of one ProbePlan.
 struct ProbeResult {
     uint64_t target = 0; // Incarnation of the target.
-    MonotonicTime began {};
+    MonotonicTime startedAt {};
     std::optional<NodeId> answeredBy; // The node that answered at the target's address, if any.
-    size_t helpersReached = 0; // Number of helpers that reached the target.
-    size_t helpersMissed = 0; // Number of helpers that did not reach the target.
-    size_t helpersSilent = 0; // Number of helpers that did not answer this node.
+    size_t helperSuccesses = 0; // Number of helpers that reached the target.
+    size_t helperFailures = 0; // Number of helpers that did not reach the target.
+    size_t unansweredHelpers = 0; // Number of helpers that did not answer this node.
 };
 
 enum class Liveness : uint8_t {
@@ -57,57 +57,57 @@
     // Advances all time-outs. To be called once per probe period, before nextProbe().
     void tick(const DigestTable&, MonotonicTime now);
     std::optional<ProbePlan> nextProbe(const DigestTable&, Random&);
-    void probed(const DigestTable&, const ProbeResult&, MonotonicTime now);
+    void recordProbe(const DigestTable&, const ProbeResult&, MonotonicTime now);
     // Reports the incarnation that the membership list gives for a node name. Older incarnations become Gone.
-    void listed(const DigestTable&, const NodeId&, MonotonicTime now);
+    void recordListed(const DigestTable&, const NodeId&, MonotonicTime now);
 
     Liveness liveness(uint64_t incarnation) const;
     // Suspects to publish in this node's digest.
     std::vector<IncarnationSequence> ownSuspects() const;
     // Returns the nodes that became Dead or Gone since the last call. The caller removes them from gossip.
     std::vector<uint64_t> takeLost();
-    bool distrustsItself(MonotonicTime now) const { return now < m_distrustUntil; }
+    bool ignoresFailedProbes(MonotonicTime now) const { return now < m_ignoreFailuresUntil; }
     int healthPenalty() const { return m_healthPenalty; }
 
 private:
     struct Suspicion {
         uint64_t sequence = 0; // Latest sequence of the suspect when suspected; a higher one refutes.
         MonotonicTime since {};
-        bool own = false; // This node suspects it too.
-        bool alone = false; // No helper was available to repeat this node's failed probe.
-        size_t observers = 0; // Number of other nodes that suspect it.
+        bool isOwn = false; // This node suspects it too.
+        bool hadNoHelper = false; // No helper was available to repeat this node's failed probe.
+        size_t observerCount = 0; // Number of other nodes that suspect it.
     };
 
     struct Lost {
-        Liveness how = Liveness::Dead;
+        Liveness verdict = Liveness::Dead;
         MonotonicTime since {};
         uint64_t sequence = 0;
-        bool mention = false; // Still published in this node's digest, as other nodes count this observer.
+        bool isPublished = false; // Still published in this node's digest, as other nodes count this observer.
     };
 
-    void noticeOwnPause(MonotonicTime now);
-    void learnSuspicions(const DigestTable&, MonotonicTime now);
+    void detectOwnPause(MonotonicTime now);
+    void mergeSuspicions(const DigestTable&, MonotonicTime now);
     void dropRefuted(const DigestTable&);
-    void stopMentioningLost(MonotonicTime now);
-    void judge(const DigestTable&, MonotonicTime now);
+    void expirePublishedLost(MonotonicTime now);
+    void declareDead(const DigestTable&, MonotonicTime now);
     void suspect(const DigestTable&, const ProbeResult&, MonotonicTime now);
-    void lose(uint64_t incarnation, Liveness, MonotonicTime now);
-    void adjustHealth(int by);
-    std::chrono::nanoseconds timeToDeath(const Suspicion&, size_t nodes) const;
+    void markLost(uint64_t incarnation, Liveness, MonotonicTime now);
+    void adjustHealthPenalty(int change);
+    std::chrono::nanoseconds timeToDeadVerdict(const Suspicion&, size_t nodes) const;
     std::vector<NodeInfo> pickHelpers(const DigestTable&, uint64_t target, Random&) const;
-    void refillOrder(const DigestTable&, Random&);
+    void refillProbeOrder(const DigestTable&, Random&);
 
     NodeInfo m_self;
     DetectorOptions m_options;
     std::map<uint64_t, Suspicion> m_suspicions;
     std::map<uint64_t, Lost> m_lost;
     std::vector<uint64_t> m_newlyLost;
-    std::vector<uint64_t> m_order; // Nodes still to be probed in the current pass over all nodes.
+    std::vector<uint64_t> m_probeOrder; // Nodes still to be probed in the current pass over all nodes.
     std::optional<MonotonicTime> m_lastTick;
-    MonotonicTime m_distrustUntil {};
-    MonotonicTime m_pauseNoticed {};
+    MonotonicTime m_ignoreFailuresUntil {};
+    MonotonicTime m_pauseDetectedAt {};
     int m_healthPenalty = 0;
-    bool m_reprobe = false;
+    bool m_probeSuspectNext = false;
 };
 
 } // namespace Kumquatpick
--- a/src/node/digesttable.cpp
+++ b/src/node/digesttable.cpp
@@ -9,10 +9,10 @@
 
     // Limits on the memory that peers' messages can occupy.
     constexpr size_t maxNodes = 4096;
-    constexpr size_t maxBuried = 8192;
-    constexpr uint64_t forever = std::numeric_limits<uint64_t>::max();
+    constexpr size_t maxForgotten = 8192;
+    constexpr uint64_t allSequences = std::numeric_limits<uint64_t>::max();
 
-    bool takeUsage(NodeDigest& known, const NodeDigest& update)
+    bool mergeUsage(NodeDigest& known, const NodeDigest& update)
     {
         if (update.usageSequence <= known.usageSequence)
             return false;
@@ -21,7 +21,7 @@
         return true;
     }
 
-    bool takeFields(NodeDigest& known, const NodeDigest& update)
+    bool mergeFields(NodeDigest& known, const NodeDigest& update)
     {
         if (update.sequence <= known.sequence)
             return false;
@@ -46,29 +46,29 @@
 bool DigestTable::merge(const NodeDigest& update)
 {
     uint64_t incarnation = update.node.id.incarnation;
-    if (incarnation == 0 || incarnation == m_self.id.incarnation || obsolete({ incarnation, update.sequence }))
+    if (incarnation == 0 || incarnation == m_self.id.incarnation || isObsolete({ incarnation, update.sequence }))
         return false;
     if (auto zone = m_zoneOf.find(incarnation); zone != m_zoneOf.end()) {
         NodeDigest& known = m_zones.at(zone->second).at(incarnation);
-        bool newFields = takeFields(known, update);
-        return takeUsage(known, update) || newFields;
+        bool newFields = mergeFields(known, update);
+        return mergeUsage(known, update) || newFields;
     }
     const std::string& name = update.node.id.name;
     if (name.empty() || m_zoneOf.size() >= maxNodes)
         return false;
-    auto newest = m_newest.find(name);
-    if (newest != m_newest.end() && newest->second > incarnation) {
-        bury(name, incarnation, forever);
+    auto newest = m_newestByName.find(name);
+    if (newest != m_newestByName.end() && newest->second > incarnation) {
+        recordForgotten(name, incarnation, allSequences);
         return false;
     }
     if (name == m_self.id.name) {
         m_replaced = true;
         return true;
     }
-    if (newest != m_newest.end() && newest->second != incarnation) {
-        uint64_t former = newest->second;
-        erase(former);
-        bury(name, former, forever);
+    if (newest != m_newestByName.end() && newest->second != incarnation) {
+        uint64_t replacedIncarnation = newest->second;
+        erase(replacedIncarnation);
+        recordForgotten(name, replacedIncarnation, allSequences);
     }
     insert(update);
     return true;
@@ -80,12 +80,12 @@
     m_zones.at(m_self.zone).at(m_self.id.incarnation) = std::move(own);
 }
 
-void DigestTable::forget(uint64_t incarnation, bool forGood)
+void DigestTable::forget(uint64_t incarnation, bool permanently)
 {
     const NodeDigest* known = find(incarnation);
     if (!known || incarnation == m_self.id.incarnation)
         return;
-    bury(known->node.id.name, incarnation, forGood ? forever : known->sequence);
+    recordForgotten(known->node.id.name, incarnation, permanently ? allSequences : known->sequence);
     erase(incarnation);
 }
 
@@ -95,16 +95,16 @@
     return zone == m_zoneOf.end() ? nullptr : &m_zones.at(zone->second).at(incarnation);
 }
 
-bool DigestTable::obsolete(const IncarnationSequence& heard) const
+bool DigestTable::isObsolete(const IncarnationSequence& digestId) const
 {
-    auto gone = m_gone.find(heard.incarnation);
-    return gone != m_gone.end() && heard.sequence <= gone->second;
+    auto gone = m_rejectedUpTo.find(digestId.incarnation);
+    return gone != m_rejectedUpTo.end() && digestId.sequence <= gone->second;
 }
 
-uint64_t DigestTable::newestOf(const std::string& name) const
+uint64_t DigestTable::newestIncarnation(const std::string& name) const
 {
-    auto newest = m_newest.find(name);
-    return newest == m_newest.end() ? 0 : newest->second;
+    auto newest = m_newestByName.find(name);
+    return newest == m_newestByName.end() ? 0 : newest->second;
 }
 
 void DigestTable::forEach(const std::function<void(const NodeDigest&)>& visit) const
@@ -120,8 +120,8 @@
     uint64_t incarnation = digest.node.id.incarnation;
     m_zones[digest.node.zone][incarnation] = digest;
     m_zoneOf[incarnation] = digest.node.zone;
-    m_newest[digest.node.id.name] = incarnation;
-    m_gone.erase(incarnation);
+    m_newestByName[digest.node.id.name] = incarnation;
+    m_rejectedUpTo.erase(incarnation);
 }
 
 void DigestTable::erase(uint64_t incarnation)
@@ -136,19 +136,20 @@
     m_zoneOf.erase(zoneOf);
 }
 
-void DigestTable::bury(const std::string& name, uint64_t incarnation, uint64_t sequence)
+void DigestTable::recordForgotten(const std::string& name, uint64_t incarnation, uint64_t sequence)
 {
-    bool isNew = m_gone.insert_or_assign(incarnation, sequence).second;
+    bool isNew = m_rejectedUpTo.insert_or_assign(incarnation, sequence).second;
     if (isNew)
-        m_burialOrder.push_back({ name, incarnation });
-    if (m_burialOrder.size() <= maxBuried)
+        m_forgottenOrder.push_back({ name, incarnation });
+    if (m_forgottenOrder.size() <= maxForgotten)
         return;
-    Buried oldest = std::move(m_burialOrder.front());
-    m_burialOrder.pop_front();
-    m_gone.erase(oldest.incarnation);
-    auto newest = m_newest.find(oldest.name);
-    if (newest != m_newest.end() && newest->second == oldest.incarnation && !m_zoneOf.contains(oldest.incarnation))
-        m_newest.erase(newest);
+    ForgottenIncarnation oldest = std::move(m_forgottenOrder.front());
+    m_forgottenOrder.pop_front();
+    m_rejectedUpTo.erase(oldest.incarnation);
+    auto newest = m_newestByName.find(oldest.name);
+    if (newest != m_newestByName.end() && newest->second == oldest.incarnation
+        && !m_zoneOf.contains(oldest.incarnation))
+        m_newestByName.erase(newest);
 }
 
 } // namespace Kumquatpick
--- a/src/node/digesttable.h
+++ b/src/node/digesttable.h
@@ -27,7 +27,7 @@
     bool merge(const NodeDigest&);
     void setOwn(NodeDigest);
     // Removes a node. A later digest with a higher sequence brings it back, unless it was removed for good.
-    void forget(uint64_t incarnation, bool forGood);
+    void forget(uint64_t incarnation, bool permanently);
 
     const NodeInfo& self() const { return m_self; }
     const NodeDigest& own() const { return m_zones.at(m_self.zone).at(m_self.id.incarnation); }
@@ -35,20 +35,20 @@
     const std::map<std::string, Zone>& zones() const { return m_zones; }
     size_t size() const { return m_zoneOf.size(); }
     // Whether the incarnation was forgotten at this sequence or a higher one, or was replaced.
-    bool obsolete(const IncarnationSequence&) const;
+    bool isObsolete(const IncarnationSequence&) const;
     // The highest known incarnation of a node name; 0 if there is none.
-    uint64_t newestOf(const std::string& name) const;
+    uint64_t newestIncarnation(const std::string& name) const;
     // Whether a digest of a newer incarnation with this node's name was received, so that this process is replaced.
-    bool replaced() const { return m_replaced; }
+    bool isReplaced() const { return m_replaced; }
 
     void forEach(const std::function<void(const NodeDigest&)>&) const;
 
 private:
     void insert(const NodeDigest&);
     void erase(uint64_t incarnation);
-    void bury(const std::string& name, uint64_t incarnation, uint64_t sequence);
+    void recordForgotten(const std::string& name, uint64_t incarnation, uint64_t sequence);
 
-    struct Buried {
+    struct ForgottenIncarnation {
         std::string name;
         uint64_t incarnation = 0;
     };
@@ -56,9 +56,9 @@
     NodeInfo m_self;
     std::map<std::string, Zone> m_zones;
     std::unordered_map<uint64_t, std::string> m_zoneOf;
-    std::unordered_map<std::string, uint64_t> m_newest; // Highest known incarnation by node name.
-    std::unordered_map<uint64_t, uint64_t> m_gone; // Highest rejected sequence by incarnation.
-    std::deque<Buried> m_burialOrder;
+    std::unordered_map<std::string, uint64_t> m_newestByName; // Highest known incarnation by node name.
+    std::unordered_map<uint64_t, uint64_t> m_rejectedUpTo; // Highest rejected sequence by incarnation.
+    std::deque<ForgottenIncarnation> m_forgottenOrder;
     bool m_replaced = false;
 };
 
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -12,15 +12,15 @@
     // A node that starts with an empty table learns a cluster of up to this size in one exchange. Larger clusters take
     // several rounds.
     constexpr size_t maxUpdatesPerMessage = 512;
-    constexpr uint64_t seedRounds = 4; // A seed that is not in the digest table is contacted every this many rounds.
+    constexpr uint64_t seedRoundInterval = 4; // Rounds between contacts to seeds that are not in the digest table.
     // Digests of a node normally reach the other nodes of its zone from within the zone, as only these carry usage.
     // Between zones they are sent or requested only if the receiver is at least this many sequences behind.
-    constexpr uint64_t zoneLag = 8;
+    constexpr uint64_t minLagAcrossZones = 8;
 
     using UsageKey = std::pair<std::string, std::string>;
     using UsageSums = std::map<UsageKey, TeamUsage>;
 
-    void add(UsageSums& sums, const std::vector<TeamUsage>& usage)
+    void addUsage(UsageSums& sums, const std::vector<TeamUsage>& usage)
     {
         for (const TeamUsage& entry : usage) {
             TeamUsage& sum = sums[{ entry.service, entry.team }];
@@ -31,7 +31,7 @@
         }
     }
 
-    std::vector<TeamUsage> list(const UsageSums& sums)
+    std::vector<TeamUsage> toVector(const UsageSums& sums)
     {
         std::vector<TeamUsage> usage;
         usage.reserve(sums.size());
@@ -42,7 +42,7 @@
 
     // The node that publishes the usage of its zone: the first by name. No agreement is needed, as each reader selects
     // one such node, and selections differ only until gossip has converged.
-    const NodeDigest* speaker(const DigestTable::Zone& zone)
+    const NodeDigest* zoneReporter(const DigestTable::Zone& zone)
     {
         const NodeDigest* first = nullptr;
         for (const auto& [incarnation, digest] : zone) {
@@ -68,19 +68,19 @@
     }
 
     // Changes on which peers should act without waiting for the next refresh.
-    bool urgentChange(const NodeDigest& before, const NodeDigest& now)
+    bool isUrgentChange(const NodeDigest& before, const NodeDigest& now)
     {
         return before.sequence == 0 || before.stopping != now.stopping || before.configVersion != now.configVersion
             || before.suspects != now.suspects || !sameSuspicions(before.suspicions, now.suspicions);
     }
 
-    bool loadChange(const NodeDigest& before, const NodeDigest& now)
+    bool isLoadChange(const NodeDigest& before, const NodeDigest& now)
     {
         return before.logOffset != now.logOffset || before.streams != now.streams || !sameUsage(before.usage, now.usage)
             || !sameUsage(before.zoneUsage, now.zoneUsage);
     }
 
-    const NodeInfo* pickFrom(const std::vector<const NodeInfo*>& nodes, Random& random)
+    const NodeInfo* pickRandom(const std::vector<const NodeInfo*>& nodes, Random& random)
     {
         if (nodes.empty())
             return nullptr;
@@ -105,19 +105,19 @@
     next.streams = report.streams;
     next.usage = report.usage;
     next.suspects = report.suspects;
-    if (speaksForZone())
+    if (reportsForZone())
         next.zoneUsage = ownZoneUsage(report.usage);
     // Includes counts of other observers, which may have stopped by the time a new node joins.
     next.suspicions = report.suspicions;
     // If another node suspects this one, a digest with a higher sequence is published to refute it.
-    bool suspected = false;
+    bool isSuspected = false;
     m_table.forEach([&](const NodeDigest& digest) {
         for (const IncarnationSequence& suspect : digest.suspects)
-            suspected |= suspect.incarnation == m_table.self().id.incarnation && suspect.sequence >= before.sequence;
+            isSuspected |= suspect.incarnation == m_table.self().id.incarnation && suspect.sequence >= before.sequence;
     });
     auto age = now - m_reportedAt;
-    bool due = (age >= refreshPeriod() && loadChange(before, next)) || age >= m_options.idleRefresh;
-    if (!due && !suspected && !urgentChange(before, next))
+    bool isDue = (age >= refreshPeriod() && isLoadChange(before, next)) || age >= m_options.idleRefresh;
+    if (!isDue && !isSuspected && !isUrgentChange(before, next))
         return;
     next.sequence = before.sequence + 1;
     next.usageSequence = next.sequence;
@@ -129,30 +129,30 @@
 
 std::vector<NodeInfo> Gossip::pickPeers(Random& random)
 {
-    std::vector<const NodeInfo*> near;
-    std::vector<const NodeInfo*> far;
-    std::set<std::string> known;
+    std::vector<const NodeInfo*> sameZone;
+    std::vector<const NodeInfo*> otherZones;
+    std::set<std::string> knownAddresses;
     m_table.forEach([&](const NodeDigest& digest) {
-        known.insert(digest.node.peerAddress.toString());
+        knownAddresses.insert(digest.node.peerAddress.toString());
         if (digest.node.id != m_table.self().id)
-            (digest.node.zone == m_table.self().zone ? near : far).push_back(&digest.node);
+            (digest.node.zone == m_table.self().zone ? sameZone : otherZones).push_back(&digest.node);
     });
-    std::vector<const NodeInfo*> strangers;
+    std::vector<const NodeInfo*> unknownSeeds;
     for (const NodeInfo& seed : m_seeds) {
-        if (!known.contains(seed.peerAddress.toString()))
-            strangers.push_back(&seed);
+        if (!knownAddresses.contains(seed.peerAddress.toString()))
+            unknownSeeds.push_back(&seed);
     }
-    bool seedTurn = m_round++ % seedRounds == 0 || (near.empty() && far.empty());
+    bool isSeedRound = m_round++ % seedRoundInterval == 0 || (sameZone.empty() && otherZones.empty());
     std::vector<NodeInfo> picked;
-    for (const NodeInfo* peer :
-        { pickFrom(near, random), pickFrom(far, random), seedTurn ? pickFrom(strangers, random) : nullptr }) {
+    for (const NodeInfo* peer : { pickRandom(sameZone, random), pickRandom(otherZones, random),
+             isSeedRound ? pickRandom(unknownSeeds, random) : nullptr }) {
         if (peer)
             picked.push_back(*peer);
     }
     return picked;
 }
 
-GossipMessage Gossip::open() const
+GossipMessage Gossip::openingMessage() const
 {
     GossipMessage message;
     message.zone = m_table.self().zone;
@@ -169,9 +169,9 @@
     GossipMessage out;
     out.zone = m_table.self().zone;
     for (const ZoneSummary& zone : message.zones)
-        compare(zone, message.zone, out);
+        addDifferences(zone, message.zone, out);
     if (message.complete)
-        pushUnlistedZones(message, out);
+        addUnlistedZones(message, out);
     for (uint64_t incarnation : message.wanted) {
         if (const NodeDigest* digest = m_table.find(incarnation))
             out.updates.push_back(updateFor(message.zone, *digest, true));
@@ -185,20 +185,20 @@
     return out;
 }
 
-std::vector<TeamUsage> Gossip::othersUsage() const
+std::vector<TeamUsage> Gossip::otherNodesUsage() const
 {
     UsageSums sums;
     for (const auto& [name, zone] : m_table.zones()) {
         if (name != m_table.self().zone) {
-            add(sums, speaker(zone)->zoneUsage);
+            addUsage(sums, zoneReporter(zone)->zoneUsage);
             continue;
         }
         for (const auto& [incarnation, digest] : zone) {
             if (incarnation != m_table.self().id.incarnation)
-                add(sums, digest.usage);
+                addUsage(sums, digest.usage);
         }
     }
-    return list(sums);
+    return toVector(sums);
 }
 
 std::vector<SuspicionCount> Gossip::suspicions() const
@@ -211,7 +211,7 @@
     return all;
 }
 
-std::optional<NodeDigest> Gossip::newerConfigHolder(Offset version, Random& random) const
+std::optional<NodeDigest> Gossip::nodeWithNewerConfig(Offset version, Random& random) const
 {
     std::vector<const NodeDigest*> holders;
     m_table.forEach([&](const NodeDigest& digest) {
@@ -236,7 +236,7 @@
     return out;
 }
 
-ZoneSummary Gossip::listing(const std::string& name) const
+ZoneSummary Gossip::memberList(const std::string& name) const
 {
     ZoneSummary out;
     out.zone = name;
@@ -248,37 +248,37 @@
     return out;
 }
 
-void Gossip::compare(const ZoneSummary& theirs, const std::string& peerZone, GossipMessage& out) const
+void Gossip::addDifferences(const ZoneSummary& peerSummary, const std::string& peerZone, GossipMessage& out) const
 {
-    if (theirs.sequences.empty()) {
-        compareListed(theirs, peerZone, out);
+    if (peerSummary.sequences.empty()) {
+        addMemberDifferences(peerSummary, peerZone, out);
         return;
     }
-    auto zone = m_table.zones().find(theirs.zone);
-    bool sameMembers = zone != m_table.zones().end() && zone->second.size() == theirs.sequences.size()
-        && summary(theirs.zone, zone->second).membersHash == theirs.membersHash;
+    auto zone = m_table.zones().find(peerSummary.zone);
+    bool sameMembers = zone != m_table.zones().end() && zone->second.size() == peerSummary.sequences.size()
+        && summary(peerSummary.zone, zone->second).membersHash == peerSummary.membersHash;
     if (sameMembers)
-        compareSequences(theirs, peerZone, out);
+        addSequenceDifferences(peerSummary, peerZone, out);
     else
-        out.zones.push_back(listing(theirs.zone));
+        out.zones.push_back(memberList(peerSummary.zone));
 }
 
-void Gossip::compareListed(const ZoneSummary& theirs, const std::string& peerZone, GossipMessage& out) const
+void Gossip::addMemberDifferences(const ZoneSummary& peerSummary, const std::string& peerZone, GossipMessage& out) const
 {
     std::set<uint64_t> listed;
-    for (const IncarnationSequence& entry : theirs.listed) {
+    for (const IncarnationSequence& entry : peerSummary.listed) {
         listed.insert(entry.incarnation);
-        const NodeDigest* ours = m_table.find(entry.incarnation);
-        if (!ours) {
-            if (!m_table.obsolete(entry))
+        const NodeDigest* ownDigest = m_table.find(entry.incarnation);
+        if (!ownDigest) {
+            if (!m_table.isObsolete(entry))
                 out.unknown.push_back(entry.incarnation);
-        } else if (ours->sequence > entry.sequence) {
-            out.updates.push_back(updateFor(peerZone, *ours, true));
-        } else if (ours->sequence < entry.sequence) {
+        } else if (ownDigest->sequence > entry.sequence) {
+            out.updates.push_back(updateFor(peerZone, *ownDigest, true));
+        } else if (ownDigest->sequence < entry.sequence) {
             out.wanted.push_back(entry.incarnation);
         }
     }
-    auto zone = m_table.zones().find(theirs.zone);
+    auto zone = m_table.zones().find(peerSummary.zone);
     if (zone == m_table.zones().end())
         return;
     for (const auto& [incarnation, digest] : zone->second) {
@@ -289,19 +289,20 @@
 
 // The low 16 bits are sufficient: sequences differ by a few, and by half the range only for a node that has been dead
 // for a long time.
-void Gossip::compareSequences(const ZoneSummary& theirs, const std::string& peerZone, GossipMessage& out) const
+void Gossip::addSequenceDifferences(
+    const ZoneSummary& peerSummary, const std::string& peerZone, GossipMessage& out) const
 {
     size_t position = 0;
-    for (const auto& [incarnation, digest] : m_table.zones().at(theirs.zone)) {
-        auto ahead = static_cast<int16_t>(static_cast<uint16_t>(digest.sequence) - theirs.sequences[position++]);
-        if (ahead > 0 && worthPassing(theirs.zone, peerZone, peerZone, ahead))
+    for (const auto& [incarnation, digest] : m_table.zones().at(peerSummary.zone)) {
+        auto ahead = static_cast<int16_t>(static_cast<uint16_t>(digest.sequence) - peerSummary.sequences[position++]);
+        if (ahead > 0 && shouldTransfer(peerSummary.zone, peerZone, peerZone, ahead))
             out.updates.push_back(updateFor(peerZone, digest, true));
-        if (ahead < 0 && worthPassing(theirs.zone, peerZone, m_table.self().zone, -ahead))
+        if (ahead < 0 && shouldTransfer(peerSummary.zone, peerZone, m_table.self().zone, -ahead))
             out.wanted.push_back(incarnation);
     }
 }
 
-void Gossip::pushUnlistedZones(const GossipMessage& message, GossipMessage& out) const
+void Gossip::addUnlistedZones(const GossipMessage& message, GossipMessage& out) const
 {
     std::set<std::string> listed;
     for (const ZoneSummary& zone : message.zones)
@@ -314,10 +315,10 @@
     }
 }
 
-bool Gossip::worthPassing(
+bool Gossip::shouldTransfer(
     const std::string& zone, const std::string& peerZone, const std::string& receiverZone, uint64_t lag) const
 {
-    return peerZone == m_table.self().zone || zone != receiverZone || lag >= zoneLag;
+    return peerZone == m_table.self().zone || zone != receiverZone || lag >= minLagAcrossZones;
 }
 
 NodeDigest Gossip::updateFor(const std::string& peerZone, const NodeDigest& digest, bool knowsNode) const
@@ -335,17 +336,17 @@
 std::vector<TeamUsage> Gossip::ownZoneUsage(const std::vector<TeamUsage>& own) const
 {
     UsageSums sums;
-    add(sums, own);
+    addUsage(sums, own);
     for (const auto& [incarnation, digest] : m_table.zones().at(m_table.self().zone)) {
         if (incarnation != m_table.self().id.incarnation)
-            add(sums, digest.usage);
+            addUsage(sums, digest.usage);
     }
-    return list(sums);
+    return toVector(sums);
 }
 
-bool Gossip::speaksForZone() const
+bool Gossip::reportsForZone() const
 {
-    return speaker(m_table.zones().at(m_table.self().zone))->node.id == m_table.self().id;
+    return zoneReporter(m_table.zones().at(m_table.self().zone))->node.id == m_table.self().id;
 }
 
 Milliseconds Gossip::refreshPeriod() const
--- a/src/node/gossip.h
+++ b/src/node/gossip.h
@@ -46,33 +46,33 @@
     // Peers for this round's exchanges: one node of this availability zone, one of another zone and, in some rounds, a
     // seed that is not in the digest table.
     std::vector<NodeInfo> pickPeers(Random&);
-    // open() returns the first message of an exchange, and answer() the reply to any message. An empty reply ends the
-    // exchange.
-    GossipMessage open() const;
+    // openingMessage() returns the first message of an exchange, and answer() the reply to any message. An empty reply
+    // ends the exchange.
+    GossipMessage openingMessage() const;
     GossipMessage answer(const GossipMessage&);
 
-    // Removes a dead node; forGood is set if it is proven gone.
-    void forget(uint64_t incarnation, bool forGood) { m_table.forget(incarnation, forGood); }
+    // Removes a dead node; permanently if it is proven gone.
+    void forget(uint64_t incarnation, bool permanently) { m_table.forget(incarnation, permanently); }
 
     const DigestTable& table() const { return m_table; }
     // Running and waiting requests at all other nodes, summed by service and team.
-    std::vector<TeamUsage> othersUsage() const;
+    std::vector<TeamUsage> otherNodesUsage() const;
     std::vector<SuspicionCount> suspicions() const;
     // A random node that has a newer accepted configuration than this version, if any.
-    std::optional<NodeDigest> newerConfigHolder(Offset version, Random&) const;
+    std::optional<NodeDigest> nodeWithNewerConfig(Offset version, Random&) const;
 
 private:
     ZoneSummary summary(const std::string& zone, const DigestTable::Zone&) const;
-    ZoneSummary listing(const std::string& zone) const;
-    void compare(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
-    void compareListed(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
-    void compareSequences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
-    void pushUnlistedZones(const GossipMessage&, GossipMessage& out) const;
-    bool worthPassing(
+    ZoneSummary memberList(const std::string& zone) const;
+    void addDifferences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
+    void addMemberDifferences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
+    void addSequenceDifferences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
+    void addUnlistedZones(const GossipMessage&, GossipMessage& out) const;
+    bool shouldTransfer(
         const std::string& zone, const std::string& peerZone, const std::string& receiverZone, uint64_t lag) const;
     NodeDigest updateFor(const std::string& peerZone, const NodeDigest&, bool knowsNode) const;
     std::vector<TeamUsage> ownZoneUsage(const std::vector<TeamUsage>& own) const;
-    bool speaksForZone() const;
+    bool reportsForZone() const;
     Milliseconds refreshPeriod() const;
 
     GossipOptions m_options;
--- a/src/node/listednodes.h
+++ b/src/node/listednodes.h
@@ -19,12 +19,12 @@
 
     void update(std::span<const NodeInfo>, MonotonicTime now);
     // Whether this incarnation has ended for good. The first call for an unlisted name starts its grace period.
-    bool provenGone(const NodeId&);
+    bool isProvenGone(const NodeId&);
 
 private:
     Milliseconds m_grace;
-    bool m_known = false;
-    MonotonicTime m_updated {};
+    bool m_hasList = false;
+    MonotonicTime m_updatedAt {};
     std::map<std::string, uint64_t> m_listed; // Incarnation by node name; 0 if the list contains none.
     std::map<std::string, MonotonicTime> m_absentSince;
 };
--- a/src/node/nodeserver.cpp
+++ b/src/node/nodeserver.cpp
@@ -11,13 +11,13 @@
     constexpr size_t maxServedConnections = 2048;
     constexpr size_t maxBodyBytes = 12 << 20; // Leaves room for the other fields within a peer's message limit.
     constexpr uint64_t maxWordsInFlight = 4 << 20; // Limit on the calls in flight on one connection.
-    constexpr uint32_t longestProbeMs = 10000;
-    constexpr auto acceptPause = 100 * kj::MILLISECONDS; // Delay after a failed accept, e.g. too many open files.
+    constexpr uint32_t maxProbeTimeoutMs = 10000;
+    constexpr auto acceptRetryDelay = 100 * kj::MILLISECONDS; // Delay after a failed accept, e.g. too many open files.
 
     constexpr auto serverSide = capnp::rpc::twoparty::Side::SERVER;
 
     // Throws the error as a kj::Exception, which Cap'n Proto returns to the caller.
-    template <typename Value> Value orThrow(std::variant<Value, Error> settled)
+    template <typename Value> Value valueOrThrow(std::variant<Value, Error> settled)
     {
         if (const Error* error = std::get_if<Error>(&settled))
             kj::throwFatalException(
@@ -25,7 +25,7 @@
         return std::get<Value>(std::move(settled));
     }
 
-    Rpc::AnswerPhase onWire(StoredAnswer::Phase phase)
+    Rpc::AnswerPhase toWire(StoredAnswer::Phase phase)
     {
         switch (phase) {
         case StoredAnswer::Phase::Unknown:
@@ -58,23 +58,23 @@
 kj::Promise<void> NodeServer::deliver(DeliverContext context)
 {
     auto params = context.getParams();
-    uint64_t meantFor = params.getIncarnation();
-    if (!m_handlers.deliverSlotMessage || (meantFor != 0 && meantFor != m_self.id.incarnation))
+    uint64_t targetIncarnation = params.getIncarnation();
+    if (!m_handlers.deliverSlotMessage || (targetIncarnation != 0 && targetIncarnation != m_self.id.incarnation))
         return kj::READY_NOW;
-    m_handlers.deliverSlotMessage(orThrow(settle([&] { return read(params.getMessage()); })));
+    m_handlers.deliverSlotMessage(valueOrThrow(settle([&] { return read(params.getMessage()); })));
     return kj::READY_NOW;
 }
 
 kj::Promise<void> NodeServer::probe(ProbeContext context)
 {
     auto params = context.getParams();
-    auto address = orThrow(settle([&] { return Address::parse(params.getAddress().cStr()); }));
+    auto address = valueOrThrow(settle([&] { return Address::parse(params.getAddress().cStr()); }));
     uint64_t expected = params.getIncarnation();
-    auto timeout = std::min(params.getTimeoutMs(), longestProbeMs) * kj::MILLISECONDS;
-    auto reached = m_connections.connect(address, PeerConnections::Haste::TryNow)
+    auto timeout = std::min(params.getTimeoutMs(), maxProbeTimeoutMs) * kj::MILLISECONDS;
+    auto reached = m_connections.connect(address, PeerConnections::BackoffMode::IgnoreBackoff)
                        .then([expected](const std::shared_ptr<PeerConnection>& connection) {
                            return connection->node.helloRequest().send().then([expected, connection](auto&& response) {
-                               connection->lastHeard = monotonicNow();
+                               connection->lastReceivedAt = monotonicNow();
                                return expected == 0 || response.getNode().getIncarnation() == expected;
                            });
                        });
@@ -90,7 +90,7 @@
         answer = m_handlers.storedAnswer(context.getParams().getKey().cStr());
     KJ_REQUIRE(answer.body.size() <= maxBodyBytes, "stored answer exceeds the size limit of RPC messages");
     auto out = context.getResults().initAnswer();
-    out.setPhase(onWire(answer.phase));
+    out.setPhase(toWire(answer.phase));
     out.setStatus(answer.status);
     out.setContentType({ answer.contentType.c_str(), answer.contentType.size() });
     out.setBody({ reinterpret_cast<const kj::byte*>(answer.body.data()), answer.body.size() });
@@ -101,7 +101,7 @@
 {
     KJ_REQUIRE(bool(m_handlers.exchangeDigests), "this node does not take part in gossip");
     auto bytes = context.getParams().getMessage();
-    auto message = orThrow(settle([&] { return decodeGossip({ bytes.begin(), bytes.size() }); }));
+    auto message = valueOrThrow(settle([&] { return decodeGossip({ bytes.begin(), bytes.size() }); }));
     auto reply = encode(m_handlers.exchangeDigests(message));
     context.getResults().setMessage({ reply.data(), reply.size() });
     return kj::READY_NOW;
@@ -117,8 +117,8 @@
     return kj::READY_NOW;
 }
 
-struct PeerListener::Served {
-    Served(kj::Own<kj::AsyncIoStream> newStream, Rpc::Node::Client node)
+struct PeerListener::ServedConnection {
+    ServedConnection(kj::Own<kj::AsyncIoStream> newStream, Rpc::Node::Client node)
         : stream(kj::mv(newStream))
         , network(*stream, serverSide, peerReaderOptions())
         , rpc(capnp::makeRpcServer(network, kj::mv(node)))
@@ -144,7 +144,7 @@
 {
     return m_receiver->accept()
         .then([this](kj::Own<kj::AsyncIoStream>&& stream) { serve(kj::mv(stream)); })
-        .catch_([this](kj::Exception&&) { return m_timer.afterDelay(acceptPause); })
+        .catch_([this](kj::Exception&&) { return m_timer.afterDelay(acceptRetryDelay); })
         .then([this] { return acceptAll(); });
 }
 
@@ -153,7 +153,7 @@
     if (m_connectionCount >= maxServedConnections)
         return;
     ++m_connectionCount;
-    auto served = kj::heap<Served>(kj::mv(stream), m_node);
+    auto served = kj::heap<ServedConnection>(kj::mv(stream), m_node);
     auto ended = served->network.onDisconnect();
     m_tasks.add(ended.attach(kj::mv(served))
                     .then([this] { --m_connectionCount; }, [this](kj::Exception&&) { --m_connectionCount; }));
--- a/src/node/nodeserver.h
+++ b/src/node/nodeserver.h
@@ -32,7 +32,7 @@
     PeerListener(kj::Own<kj::ConnectionReceiver>, Rpc::Node::Client, kj::Timer&);
 
 private:
-    struct Served;
+    struct ServedConnection;
 
     kj::Promise<void> acceptAll();
     void serve(kj::Own<kj::AsyncIoStream>);
--- a/src/node/peerconnections.cpp
+++ b/src/node/peerconnections.cpp
@@ -10,16 +10,16 @@
     constexpr uint64_t maxMessageWords = 2 << 20; // 16 MiB
     constexpr int maxNesting = 16;
     constexpr size_t maxBacklogPerPeer = 1024;
-    constexpr size_t maxRememberedPeers = 2048;
-    constexpr Milliseconds firstBackoff { 50 };
-    constexpr Milliseconds longestBackoff { 1000 };
+    constexpr size_t maxTrackedPeers = 2048;
+    constexpr Milliseconds initialBackoff { 50 };
+    constexpr Milliseconds maxBackoff { 1000 };
     constexpr Milliseconds connectTimeout { 2000 };
 
     constexpr auto clientSide = capnp::rpc::twoparty::Side::CLIENT;
 
-    kj::Exception noConnection(kj::StringPtr why)
+    kj::Exception connectionError(kj::StringPtr reason)
     {
-        return { kj::Exception::Type::DISCONNECTED, __FILE__, __LINE__, kj::heapString(why) };
+        return { kj::Exception::Type::DISCONNECTED, __FILE__, __LINE__, kj::heapString(reason) };
     }
 
     Rpc::Node::Client bootstrap(capnp::RpcSystem<capnp::rpc::twoparty::VatId>& rpc)
@@ -56,23 +56,23 @@
 {
 }
 
-kj::Promise<std::shared_ptr<PeerConnection>> PeerConnections::connect(const Address& address, Haste haste)
+kj::Promise<std::shared_ptr<PeerConnection>> PeerConnections::connect(const Address& address, BackoffMode backoffMode)
 {
     forgetIdlePeers();
     Peer& peer = m_peers[address];
     if (peer.connection)
         return peer.connection;
     if (!peer.connecting) {
-        if (haste == Haste::RespectBackoff && monotonicNow() < peer.retryAt)
-            return noConnection("reconnect backoff has not ended"_kj);
+        if (backoffMode == BackoffMode::RespectBackoff && monotonicNow() < peer.retryAt)
+            return connectionError("reconnect backoff has not ended"_kj);
         startAttempt(address, peer);
     }
-    return KJ_ASSERT_NONNULL(peer.attempt)
+    return KJ_ASSERT_NONNULL(peer.connectAttempt)
         .addBranch()
         .then([this, address]() -> kj::Promise<std::shared_ptr<PeerConnection>> {
             Peer& peer = m_peers[address];
             if (!peer.connection)
-                return noConnection("connection closed immediately after it was opened"_kj);
+                return connectionError("connection closed immediately after it was opened"_kj);
             return peer.connection;
         });
 }
@@ -85,13 +85,14 @@
                           auto connecting = target->connect();
                           return connecting.attach(kj::mv(target));
                       });
-    peer.attempt = m_timer.timeoutAfter(connectTimeout.count() * kj::MILLISECONDS, kj::mv(stream))
-                       .then([this, address](kj::Own<kj::AsyncIoStream>&& ready) { connected(address, kj::mv(ready)); })
-                       .catch_([this, address](kj::Exception&& exception) -> kj::Promise<void> {
-                           attemptFailed(address);
-                           return kj::mv(exception);
-                       })
-                       .fork();
+    peer.connectAttempt
+        = m_timer.timeoutAfter(connectTimeout.count() * kj::MILLISECONDS, kj::mv(stream))
+              .then([this, address](kj::Own<kj::AsyncIoStream>&& ready) { connected(address, kj::mv(ready)); })
+              .catch_([this, address](kj::Exception&& exception) -> kj::Promise<void> {
+                  attemptFailed(address);
+                  return kj::mv(exception);
+              })
+              .fork();
 }
 
 void PeerConnections::connected(const Address& address, kj::Own<kj::AsyncIoStream> stream)
@@ -100,23 +101,23 @@
     peer.connecting = false;
     peer.backoff = {};
     peer.connection = std::make_shared<PeerConnection>(kj::mv(stream));
-    const PeerConnection* identity = peer.connection.get();
+    const PeerConnection* expected = peer.connection.get();
     m_tasks.add(
-        peer.connection->network.onDisconnect().then([this, address, identity] { disconnected(address, identity); }));
+        peer.connection->network.onDisconnect().then([this, address, expected] { disconnected(address, expected); }));
 }
 
 void PeerConnections::attemptFailed(const Address& address)
 {
     Peer& peer = m_peers[address];
     peer.connecting = false;
-    peer.backoff = std::clamp(peer.backoff * 2, firstBackoff, longestBackoff);
+    peer.backoff = std::clamp(peer.backoff * 2, initialBackoff, maxBackoff);
     peer.retryAt = monotonicNow() + peer.backoff;
 }
 
-void PeerConnections::disconnected(const Address& address, const PeerConnection* identity)
+void PeerConnections::disconnected(const Address& address, const PeerConnection* expected)
 {
     auto found = m_peers.find(address);
-    if (found != m_peers.end() && found->second.connection.get() == identity)
+    if (found != m_peers.end() && found->second.connection.get() == expected)
         dispose(std::move(found->second.connection));
 }
 
@@ -129,7 +130,7 @@
 void PeerConnections::dropIfSilentSince(const Address& address, MonotonicTime time)
 {
     auto found = m_peers.find(address);
-    if (found == m_peers.end() || !found->second.connection || found->second.connection->lastHeard >= time)
+    if (found == m_peers.end() || !found->second.connection || found->second.connection->lastReceivedAt >= time)
         return;
     dispose(std::move(found->second.connection));
 }
@@ -148,7 +149,7 @@
 // Replaced hosts leave unused addresses behind. Removing an address without a connection loses only its backoff.
 void PeerConnections::forgetIdlePeers()
 {
-    if (m_peers.size() < maxRememberedPeers)
+    if (m_peers.size() < maxTrackedPeers)
         return;
     std::erase_if(m_peers, [](const auto& entry) {
         const Peer& peer = entry.second;
--- a/src/node/peerconnections.h
+++ b/src/node/peerconnections.h
@@ -23,22 +23,22 @@
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> rpc;
     Rpc::Node::Client node;
-    MonotonicTime lastHeard = monotonicNow();
+    MonotonicTime lastReceivedAt = monotonicNow();
 };
 
 // Connections to peers. They are opened on first use and reopened after a backoff. Used only on the event loop's
 // thread.
 class PeerConnections : private kj::TaskSet::ErrorHandler {
 public:
-    enum class Haste : uint8_t {
+    enum class BackoffMode : uint8_t {
         RespectBackoff,
-        TryNow, // Used by probes, so that a restarted peer is detected at once.
+        IgnoreBackoff, // Used by probes, so that a restarted peer is detected at once.
     };
 
     PeerConnections(kj::Network&, kj::Timer&);
 
     // The promise is rejected with DISCONNECTED if there is no connection and none can be opened now.
-    kj::Promise<std::shared_ptr<PeerConnection>> connect(const Address&, Haste);
+    kj::Promise<std::shared_ptr<PeerConnection>> connect(const Address&, BackoffMode);
     // Closes the connection if nothing was received on it since the given time. The next call opens a new one.
     void dropIfSilentSince(const Address&, MonotonicTime);
 
@@ -53,7 +53,7 @@
 
     struct Peer {
         std::shared_ptr<PeerConnection> connection;
-        kj::Maybe<kj::ForkedPromise<void>> attempt;
+        kj::Maybe<kj::ForkedPromise<void>> connectAttempt;
         bool connecting = false;
         MonotonicTime retryAt {};
         Milliseconds backoff {};
--- a/src/node/simulation.cpp
+++ b/src/node/simulation.cpp
@@ -13,11 +13,11 @@
     using std::chrono::nanoseconds;
 
     constexpr Milliseconds callTimeout { 1000 };
-    constexpr Milliseconds lagTime { 2000 };
+    constexpr Milliseconds addedDelay { 2000 };
     // One-way base latencies. Random jitter adds between zero and the same amount again.
-    constexpr microseconds withinZone { 300 };
-    constexpr microseconds withinRegion { 1200 };
-    constexpr microseconds acrossRegions { 60000 };
+    constexpr microseconds sameZoneLatency { 300 };
+    constexpr microseconds sameRegionLatency { 1200 };
+    constexpr microseconds crossRegionLatency { 60000 };
 
     // Bytes of the RPC messages of a call (including its finish message) and of its return, as measured on the wire.
     // The payload of an exchange is added to these.
@@ -30,7 +30,7 @@
 
     constexpr Milliseconds pingPeriod { 1000 };
     constexpr Milliseconds pingTimeout { 500 };
-    constexpr int missesForDeath = 3;
+    constexpr int missesForDead = 3;
     constexpr int exchangeLegs = 3;
 
     uint64_t incarnationOf(size_t node) { return 1'000'000 + node; }
@@ -57,8 +57,8 @@
     bool dead = false;
     MonotonicTime pausedUntil {};
     uint64_t bytesSent = 0;
-    Offset config = 1;
-    std::map<Offset, Milliseconds> adopted;
+    Offset configVersion = 1;
+    std::map<Offset, Milliseconds> adoptionTimes;
     std::vector<TeamUsage> usage;
     std::vector<int> misses; // Consecutive missed pings by target; used only by the baseline.
 };
@@ -128,7 +128,7 @@
 
 void MembershipSimulation::publish(size_t node, Offset version)
 {
-    adopt(node, version);
+    adoptVersion(node, version);
     gossipOnce(node);
 }
 
@@ -136,7 +136,7 @@
 {
     const Node& node = *m_nodes[observer];
     if (m_options.detection == SimulationOptions::Detection::SingleObserver)
-        return node.misses[target] >= missesForDeath ? Liveness::Dead : Liveness::Alive;
+        return node.misses[target] >= missesForDead ? Liveness::Dead : Liveness::Alive;
     if (!node.gossip.table().find(incarnationOf(target)))
         return Liveness::Dead;
     return node.detector.liveness(incarnationOf(target));
@@ -146,8 +146,8 @@
 
 std::optional<Milliseconds> MembershipSimulation::adoptedAt(size_t node, Offset version) const
 {
-    auto found = m_nodes[node]->adopted.find(version);
-    return found == m_nodes[node]->adopted.end() ? std::nullopt : std::optional(found->second);
+    auto found = m_nodes[node]->adoptionTimes.find(version);
+    return found == m_nodes[node]->adoptionTimes.end() ? std::nullopt : std::optional(found->second);
 }
 
 uint64_t MembershipSimulation::bytesSent(size_t node) const { return m_nodes[node]->bytesSent; }
@@ -166,30 +166,30 @@
             done(answered);
     };
     schedule(from, timeout, [finish] { finish(false); });
-    auto there = transit(from, to);
+    auto there = randomTransitTime(from, to);
     if (!there)
         return;
     schedule(to, *there, [this, from, to, handle = std::move(handle), finish] {
         handle();
-        if (auto back = transit(to, from))
+        if (auto back = randomTransitTime(to, from))
             schedule(from, *back, [finish] { finish(true); });
     });
 }
 
-std::optional<nanoseconds> MembershipSimulation::transit(size_t from, size_t to)
+std::optional<nanoseconds> MembershipSimulation::randomTransitTime(size_t from, size_t to)
 {
-    if (chance(m_options.loss))
+    if (randomChance(m_options.loss))
         return {};
     const Node& one = *m_nodes[from];
     const Node& other = *m_nodes[to];
-    nanoseconds base = one.info.zone == other.info.zone ? withinZone
-        : one.region == other.region                    ? withinRegion
-                                                        : acrossRegions;
+    nanoseconds base = one.info.zone == other.info.zone ? sameZoneLatency
+        : one.region == other.region                    ? sameRegionLatency
+                                                        : crossRegionLatency;
     nanoseconds jitter(std::uniform_int_distribution<int64_t>(0, base.count())(m_random));
-    return base + jitter + (chance(m_options.lagged) ? nanoseconds(lagTime) : nanoseconds(0));
+    return base + jitter + (randomChance(m_options.delayed) ? nanoseconds(addedDelay) : nanoseconds(0));
 }
 
-bool MembershipSimulation::chance(double share)
+bool MembershipSimulation::randomChance(double share)
 {
     return share > 0 && std::uniform_real_distribution<double>(0, 1)(m_random) < share;
 }
@@ -205,8 +205,9 @@
     Node& self = *m_nodes[node];
     self.gossip.report(reportOf(node), m_now);
     for (const NodeInfo& peer : self.gossip.pickPeers(self.random))
-        exchange(node, indexOf(peer.id.incarnation), std::make_shared<GossipMessage>(self.gossip.open()), exchangeLegs);
-    fetchNewerText(node);
+        exchange(node, indexOf(peer.id.incarnation), std::make_shared<GossipMessage>(self.gossip.openingMessage()),
+            exchangeLegs);
+    fetchNewerConfig(node);
 }
 
 void MembershipSimulation::exchange(size_t from, size_t to, const std::shared_ptr<GossipMessage>& message, int legsLeft)
@@ -226,26 +227,26 @@
     });
 }
 
-void MembershipSimulation::fetchNewerText(size_t node)
+void MembershipSimulation::fetchNewerConfig(size_t node)
 {
     Node& self = *m_nodes[node];
-    auto holder = self.gossip.newerConfigHolder(self.config, self.random);
+    auto holder = self.gossip.nodeWithNewerConfig(self.configVersion, self.random);
     if (!holder)
         return;
     size_t from = indexOf(holder->node.id.incarnation);
     auto version = std::make_shared<Offset>(0);
     call(
-        node, from, callTimeout, [this, from, version] { *version = m_nodes[from]->config; },
+        node, from, callTimeout, [this, from, version] { *version = m_nodes[from]->configVersion; },
         [this, node, version](bool answered) {
-            if (answered && *version > m_nodes[node]->config)
-                adopt(node, *version);
+            if (answered && *version > m_nodes[node]->configVersion)
+                adoptVersion(node, *version);
         });
 }
 
-void MembershipSimulation::adopt(size_t node, Offset version)
+void MembershipSimulation::adoptVersion(size_t node, Offset version)
 {
-    m_nodes[node]->config = version;
-    m_nodes[node]->adopted[version] = now();
+    m_nodes[node]->configVersion = version;
+    m_nodes[node]->adoptionTimes[version] = now();
 }
 
 // Simulates the load of a busy node: each report has new random figures.
@@ -253,7 +254,7 @@
 {
     Node& self = *m_nodes[node];
     OwnReport report;
-    report.configVersion = self.config;
+    report.configVersion = self.configVersion;
     report.logOffset = 100'000 + static_cast<Offset>(now().count() / 5);
     report.suspects = self.detector.ownSuspects();
     std::uniform_int_distribution<uint32_t> running(0, 60);
@@ -273,28 +274,28 @@
     const DigestTable& table = self.gossip.table();
     self.detector.tick(table, m_now);
     for (uint64_t incarnation : self.detector.takeLost()) {
-        lost(node, indexOf(incarnation));
+        recordLost(node, indexOf(incarnation));
         self.gossip.forget(incarnation, self.detector.liveness(incarnation) == Liveness::Gone);
     }
     auto plan = self.detector.nextProbe(table, self.random);
     if (!plan)
         return;
-    auto held = std::make_shared<ProbePlan>(std::move(*plan));
+    auto sharedPlan = std::make_shared<ProbePlan>(std::move(*plan));
     auto result = std::make_shared<ProbeResult>();
-    result->target = held->target.id.incarnation;
-    result->began = m_now;
+    result->target = sharedPlan->target.id.incarnation;
+    result->startedAt = m_now;
     size_t target = indexOf(result->target);
     self.bytesSent += helloCallBytes;
     call(
         node, target, m_options.detector.probeTimeout,
         [this, target] { m_nodes[target]->bytesSent += helloReturnBytes; },
-        [this, node, held, result](bool answered) {
+        [this, node, sharedPlan, result](bool answered) {
             if (answered)
-                result->answeredBy = held->target.id;
-            if (answered || held->helpers.empty())
+                result->answeredBy = sharedPlan->target.id;
+            if (answered || sharedPlan->helpers.empty())
                 finishProbe(node, *result);
             else
-                askHelpers(node, held, result);
+                askHelpers(node, sharedPlan, result);
         });
 }
 
@@ -303,21 +304,21 @@
 {
     Milliseconds timeout = m_options.detector.probeTimeout;
     size_t target = indexOf(plan->target.id.incarnation);
-    auto left = std::make_shared<size_t>(plan->helpers.size());
+    auto remainingHelpers = std::make_shared<size_t>(plan->helpers.size());
     for (const NodeInfo& info : plan->helpers) {
         size_t helper = indexOf(info.id.incarnation);
         auto reached = std::make_shared<std::optional<bool>>();
         auto finished = std::make_shared<bool>(false);
-        auto finish = [this, node, result, reached, left, finished] {
+        auto finish = [this, node, result, reached, remainingHelpers, finished] {
             if (std::exchange(*finished, true))
                 return;
-            ++(!*reached ? result->helpersSilent : **reached ? result->helpersReached : result->helpersMissed);
-            if (--*left == 0)
+            ++(!*reached ? result->unansweredHelpers : **reached ? result->helperSuccesses : result->helperFailures);
+            if (--*remainingHelpers == 0)
                 finishProbe(node, *result);
         };
         m_nodes[node]->bytesSent += probeCallBytes;
         schedule(node, timeout * 3 / 2, finish);
-        auto there = transit(node, helper);
+        auto there = randomTransitTime(node, helper);
         if (!there)
             continue;
         schedule(helper, *there, [this, node, helper, target, timeout, reached, finish] {
@@ -326,7 +327,7 @@
                 helper, target, timeout, [this, target] { m_nodes[target]->bytesSent += helloReturnBytes; },
                 [this, node, helper, reached, finish](bool answered) {
                     m_nodes[helper]->bytesSent += probeReturnBytes;
-                    if (auto back = transit(helper, node))
+                    if (auto back = randomTransitTime(helper, node))
                         schedule(node, *back, [reached, finish, answered] {
                             *reached = answered;
                             finish();
@@ -340,7 +341,7 @@
 {
     Node& self = *m_nodes[node];
     size_t before = self.detector.ownSuspects().size();
-    self.detector.probed(self.gossip.table(), result, m_now);
+    self.detector.recordProbe(self.gossip.table(), result, m_now);
     const Node& target = *m_nodes[indexOf(result.target)];
     if (self.detector.ownSuspects().size() > before && !target.dead && target.pausedUntil <= m_now)
         ++m_falseSuspicions;
@@ -353,7 +354,7 @@
         if (target == node)
             continue;
         m_nodes[node]->bytesSent += helloCallBytes;
-        pinged(node, target, ping(node, target));
+        recordPing(node, target, ping(node, target));
     }
 }
 
@@ -361,23 +362,23 @@
 bool MembershipSimulation::ping(size_t from, size_t to)
 {
     Node& target = *m_nodes[to];
-    auto there = transit(from, to);
+    auto there = randomTransitTime(from, to);
     if (!there || target.dead || target.pausedUntil > m_now)
         return false;
     target.bytesSent += helloReturnBytes;
-    auto back = transit(to, from);
+    auto back = randomTransitTime(to, from);
     return back && *there + *back <= pingTimeout;
 }
 
-void MembershipSimulation::pinged(size_t observer, size_t target, bool answered)
+void MembershipSimulation::recordPing(size_t observer, size_t target, bool answered)
 {
     int& misses = m_nodes[observer]->misses[target];
     misses = answered ? 0 : misses + 1;
-    if (misses == missesForDeath)
-        lost(observer, target);
+    if (misses == missesForDead)
+        recordLost(observer, target);
 }
 
-void MembershipSimulation::lost(size_t observer, size_t target)
+void MembershipSimulation::recordLost(size_t observer, size_t target)
 {
     const Node& node = *m_nodes[target];
     bool wasPaused = node.pausedUntil != MonotonicTime {};
--- a/src/node/simulation.h
+++ b/src/node/simulation.h
@@ -25,7 +25,7 @@
     size_t zones = 3;
     size_t regions = 1;
     double loss = 0; // Fraction of messages lost, in each direction of each call.
-    double lagged = 0; // Fraction of messages that take two seconds longer.
+    double delayed = 0; // Fraction of messages that take two seconds longer.
     Detection detection = Detection::Swim;
     GossipOptions gossip {};
     DetectorOptions detector {};
@@ -41,7 +41,7 @@
     size_t target = 0;
     bool targetDied = false;
     bool targetPaused = false;
-    bool targetWoken = false; // The target was paused before and is running again.
+    bool targetResumed = false; // The target was paused before and is running again.
 };
 
 // Discrete-event simulation of many nodes. It runs the production classes Gossip and Detector, and takes message sizes
@@ -79,22 +79,22 @@
     void schedule(size_t node, std::chrono::nanoseconds delay, std::function<void()>);
     // Runs handle at the target and then done(true) at the caller, or done(false) at the time-out.
     void call(size_t from, size_t to, Milliseconds timeout, std::function<void()> handle, Continue done);
-    std::optional<std::chrono::nanoseconds> transit(size_t from, size_t to);
-    bool chance(double share);
+    std::optional<std::chrono::nanoseconds> randomTransitTime(size_t from, size_t to);
+    bool randomChance(double share);
 
     void gossipRound(size_t node);
     void gossipOnce(size_t node);
     void exchange(size_t from, size_t to, const std::shared_ptr<GossipMessage>&, int legsLeft);
-    void fetchNewerText(size_t node);
-    void adopt(size_t node, Offset version);
+    void fetchNewerConfig(size_t node);
+    void adoptVersion(size_t node, Offset version);
     OwnReport reportOf(size_t node);
     void probeRound(size_t node);
     void askHelpers(size_t node, const std::shared_ptr<ProbePlan>&, const std::shared_ptr<ProbeResult>&);
     void finishProbe(size_t node, const ProbeResult&);
     void pingRound(size_t node);
     bool ping(size_t from, size_t to);
-    void pinged(size_t observer, size_t target, bool answered);
-    void lost(size_t observer, size_t target);
+    void recordPing(size_t observer, size_t target, bool answered);
+    void recordLost(size_t observer, size_t target);
 
     SimulationOptions m_options;
     Random m_random;
--- a/src/node/transport.cpp
+++ b/src/node/transport.cpp
@@ -29,8 +29,8 @@
     };
 
     // Objects that are used only on the event loop's thread.
-    struct Loop : private kj::TaskSet::ErrorHandler {
-        Loop(kj::AsyncIoContext& io)
+    struct EventLoop : private kj::TaskSet::ErrorHandler {
+        EventLoop(kj::AsyncIoContext& io)
             : timer(io.provider->getTimer())
             , connections(io.provider->getNetwork(), timer)
             , tasks(*this)
@@ -116,7 +116,7 @@
 
         void send(const NodeInfo& to, const SlotMessage& message) override
         {
-            bool queued = post([this, to, message](Loop& loop) { deliver(loop, to, message); });
+            bool queued = post([this, to, message](EventLoop& loop) { deliver(loop, to, message); });
             if (!queued)
                 ++m_droppedSends;
         }
@@ -132,12 +132,12 @@
         // The peer gets a shorter time-out than the call, so that a negative answer arrives before the call ends.
         Result<bool> probeThrough(const Address& peer, const NodeInfo& target, Milliseconds timeout) override
         {
-            auto peersTimeout = static_cast<uint32_t>(std::max<int64_t>(timeout.count() * 2 / 3, 1));
-            return call<bool>(peer, Step::Probe, timeout, [target, peersTimeout](Rpc::Node::Client& node) {
+            auto peerTimeoutMs = static_cast<uint32_t>(std::max<int64_t>(timeout.count() * 2 / 3, 1));
+            return call<bool>(peer, Step::Probe, timeout, [target, peerTimeoutMs](Rpc::Node::Client& node) {
                 auto request = node.probeRequest();
                 request.setAddress(target.peerAddress.toString().c_str());
                 request.setIncarnation(target.id.incarnation);
-                request.setTimeoutMs(peersTimeout);
+                request.setTimeoutMs(peerTimeoutMs);
                 return request.send().then(
                     [](auto&& response) { return std::variant<bool, Error>(response.getReached()); });
             });
@@ -177,7 +177,7 @@
         }
 
     private:
-        using Task = std::function<void(Loop&)>;
+        using Task = std::function<void(EventLoop&)>;
 
         // Queues a task for the event loop. Returns false if the transport is stopping or the queue is full.
         bool post(Task task)
@@ -209,7 +209,7 @@
         {
             LibraryLog log;
             auto io = kj::setupAsyncIo();
-            Loop loop(io);
+            EventLoop loop(io);
             kj::Maybe<PeerListener> listener;
             auto failure = kj::runCatchingExceptions([&] { listen(self, io, loop, listener); });
             KJ_IF_MAYBE (exception, failure) {
@@ -221,7 +221,7 @@
             while (runQueuedTasks(loop, io.waitScope)) { }
         }
 
-        void listen(NodeInfo& self, kj::AsyncIoContext& io, Loop& loop, kj::Maybe<PeerListener>& listener)
+        void listen(NodeInfo& self, kj::AsyncIoContext& io, EventLoop& loop, kj::Maybe<PeerListener>& listener)
         {
             auto text = kj::heapString(self.peerAddress.toString().c_str());
             auto address = io.provider->getNetwork().parseAddress(text).wait(io.waitScope);
@@ -232,7 +232,7 @@
         }
 
         // Runs the event loop after each batch of tasks, so that a steady flow of tasks cannot starve socket I/O.
-        bool runQueuedTasks(Loop& loop, kj::WaitScope& waitScope)
+        bool runQueuedTasks(EventLoop& loop, kj::WaitScope& waitScope)
         {
             auto next = kj::newPromiseAndCrossThreadFulfiller<void>();
             std::deque<Task> tasks;
@@ -261,7 +261,7 @@
             auto pending = std::make_shared<PendingCall<Value>>();
             auto sender = std::make_shared<typename PendingCall<Value>::Sender>(pending);
             bool queued = post([this, peer, timeout, where, sender, start = std::move(start)](
-                                   Loop& loop) { runCall<Value>(loop, peer, timeout, where, sender, start); });
+                                   EventLoop& loop) { runCall<Value>(loop, peer, timeout, where, sender, start); });
             if (!queued)
                 return fail({ ErrorCode::ShuttingDown, step, where.peer, "transport stopping or its queue full" });
             sender.reset();
@@ -272,27 +272,27 @@
         }
 
         template <typename Value, typename Start>
-        void runCall(Loop& loop, const Address& peer, Milliseconds timeout, const Error& where,
+        void runCall(EventLoop& loop, const Address& peer, Milliseconds timeout, const Error& where,
             const std::shared_ptr<typename PendingCall<Value>::Sender>& sender, const Start& start)
         {
             // Probes have to detect a restarted peer at once. Other calls fail until the backoff has ended.
-            auto haste
-                = where.step == Step::Probe ? PeerConnections::Haste::TryNow : PeerConnections::Haste::RespectBackoff;
-            MonotonicTime began = monotonicNow();
+            auto backoffMode = where.step == Step::Probe ? PeerConnections::BackoffMode::IgnoreBackoff
+                                                         : PeerConnections::BackoffMode::RespectBackoff;
+            MonotonicTime startedAt = monotonicNow();
             kj::Promise<void> answered
-                = loop.connections.connect(peer, haste)
+                = loop.connections.connect(peer, backoffMode)
                       .then([sender, start](const std::shared_ptr<PeerConnection>& connection) -> kj::Promise<void> {
                           if (!sender->beginSending())
                               return kj::READY_NOW;
                           return start(connection->node)
                               .then([sender, connection](std::variant<Value, Error>&& outcome) {
-                                  connection->lastHeard = monotonicNow();
+                                  connection->lastReceivedAt = monotonicNow();
                                   sender->settle(std::move(outcome));
                               });
                       });
             kj::Promise<void> timedOut
-                = loop.timer.afterDelay(timeout.count() * kj::MILLISECONDS).then([&loop, peer, began] {
-                      loop.connections.dropIfSilentSince(peer, began);
+                = loop.timer.afterDelay(timeout.count() * kj::MILLISECONDS).then([&loop, peer, startedAt] {
+                      loop.connections.dropIfSilentSince(peer, startedAt);
                   });
             loop.tasks.add(answered.exclusiveJoin(kj::mv(timedOut)).catch_([sender, where](kj::Exception&& exception) {
                 Error error = where;
@@ -302,26 +302,26 @@
             }));
         }
 
-        void deliver(Loop& loop, const NodeInfo& to, const SlotMessage& message)
+        void deliver(EventLoop& loop, const NodeInfo& to, const SlotMessage& message)
         {
             const Address& peer = to.peerAddress;
             if (!loop.connections.enterBacklog(peer)) {
                 ++m_droppedSends;
                 return;
             }
-            MonotonicTime began = monotonicNow();
-            kj::Promise<void> delivered = loop.connections.connect(peer, PeerConnections::Haste::RespectBackoff)
+            MonotonicTime startedAt = monotonicNow();
+            kj::Promise<void> delivered = loop.connections.connect(peer, PeerConnections::BackoffMode::RespectBackoff)
                                               .then([incarnation = to.id.incarnation, message](
                                                         const std::shared_ptr<PeerConnection>& connection) {
                                                   auto request = connection->node.deliverRequest();
                                                   request.setIncarnation(incarnation);
                                                   write(request.initMessage(), message);
                                                   return request.send().ignoreResult().then(
-                                                      [connection] { connection->lastHeard = monotonicNow(); });
+                                                      [connection] { connection->lastReceivedAt = monotonicNow(); });
                                               });
             kj::Promise<void> timedOut
-                = loop.timer.afterDelay(sendTimeout.count() * kj::MILLISECONDS).then([&loop, peer, began] {
-                      loop.connections.dropIfSilentSince(peer, began);
+                = loop.timer.afterDelay(sendTimeout.count() * kj::MILLISECONDS).then([&loop, peer, startedAt] {
+                      loop.connections.dropIfSilentSince(peer, startedAt);
                   });
             loop.tasks.add(delivered.exclusiveJoin(kj::mv(timedOut))
                                .catch_([this](kj::Exception&&) { ++m_droppedSends; })
--- a/tests/node/generators.h
+++ b/tests/node/generators.h
@@ -48,7 +48,7 @@
 }
 
 // One random message of each alternative of SlotMessage, in the order of the variant.
-inline std::vector<SlotMessage> oneOfEach()
+inline std::vector<SlotMessage> oneMessageOfEachKind()
 {
     return {
         PermitRequest { anyNumber(), anyNumber(), anyRequestKey(), anyArrival(), anyNode() },
@@ -106,7 +106,7 @@
 
 inline auto fields(const CopyReply& in) { return std::tuple(in.slot, in.epoch, in.partner, in.part); }
 
-inline bool same(const SlotMessage& left, const SlotMessage& right)
+inline bool isSameMessage(const SlotMessage& left, const SlotMessage& right)
 {
     return std::visit(
         []<typename Left, typename Right>(const Left& one, const Right& other) {
--- a/tests/node/gossip_test.cpp
+++ b/tests/node/gossip_test.cpp
@@ -21,7 +21,7 @@
 
     // A digest of one of a few nodes. Its content is determined by incarnation and sequence, except that usage may be
     // missing, as it is in digests that come from another availability zone.
-    NodeDigest anyDigestOfFew()
+    NodeDigest anyDigestOfFewNodes()
     {
         auto name = *rc::gen::inRange<size_t>(1, 4);
         uint64_t incarnation = name * 10 + *rc::gen::inRange<uint64_t>(0, 3);
@@ -46,7 +46,7 @@
 
     void exchange(Gossip& one, Gossip& other)
     {
-        GossipMessage message = one.open();
+        GossipMessage message = one.openingMessage();
         for (int leg = 0; leg < 3 && !message.empty(); ++leg)
             message = one.answer(other.answer(message));
     }
@@ -59,15 +59,15 @@
         return report;
     }
 
-    constexpr Milliseconds patience { 20000 };
+    constexpr Milliseconds testTimeout { 20000 };
 
 }
 
-RC_GTEST_PROP(DigestTable, MergeCommutesAndIsIdempotent, ())
+RC_GTEST_PROP(DigestTable, MergeIsCommutativeAndIdempotent, ())
 {
     std::vector<NodeDigest> digests(*rc::gen::inRange<size_t>(0, 12));
     for (NodeDigest& digest : digests)
-        digest = anyDigestOfFew();
+        digest = anyDigestOfFewNodes();
     std::vector<NodeDigest> other = digests;
     if (!digests.empty())
         other.push_back(digests[*rc::gen::inRange<size_t>(0, digests.size())]);
@@ -84,26 +84,26 @@
         RC_ASSERT(!one.merge(digest));
 }
 
-RC_GTEST_PROP(DigestTable, NothingStaleComesBack, ())
+RC_GTEST_PROP(DigestTable, StaleDigestsAreRejected, ())
 {
     DigestTable table(node(0, 1));
-    NodeDigest last = anyDigestOfFew();
+    NodeDigest last = anyDigestOfFewNodes();
     table.merge(last);
     uint64_t incarnation = last.node.id.incarnation;
-    bool forGood = *rc::gen::arbitrary<bool>();
-    table.forget(incarnation, forGood);
+    bool permanently = *rc::gen::arbitrary<bool>();
+    table.forget(incarnation, permanently);
     for (int i = 0; i < 10; ++i) {
-        NodeDigest late = anyDigestOfFew();
+        NodeDigest late = anyDigestOfFewNodes();
         table.merge(late);
         const NodeDigest* back = table.find(incarnation);
-        RC_ASSERT((!back || (!forGood && back->sequence > last.sequence)));
+        RC_ASSERT((!back || (!permanently && back->sequence > last.sequence)));
         // Only the newest incarnation of a name is in the table.
-        RC_ASSERT(
-            (!table.find(late.node.id.incarnation) || table.newestOf(late.node.id.name) == late.node.id.incarnation));
+        RC_ASSERT((!table.find(late.node.id.incarnation)
+            || table.newestIncarnation(late.node.id.name) == late.node.id.incarnation));
     }
 }
 
-TEST(Gossip, ExchangeBringsBothSidesToTheSame)
+TEST(Gossip, ExchangeSynchronizesBothTables)
 {
     MonotonicTime now {};
     Gossip one(node(1, 11, "howrah"));
@@ -118,58 +118,58 @@
     EXPECT_EQ(two.table().size(), 3u);
     EXPECT_EQ(one.table().find(13)->configVersion, 6u);
     // A second exchange, without changes in between, ends with the first reply.
-    EXPECT_TRUE(two.answer(one.open()).empty());
+    EXPECT_TRUE(two.answer(one.openingMessage()).empty());
 }
 
-TEST(Gossip, UsageLeavesItsZoneAsOneSum)
+TEST(Gossip, OtherZonesReceiveOnlySummedUsage)
 {
     MonotonicTime now {};
     Gossip outside(node(1, 11, "howrah"));
-    Gossip speaker(node(2, 12, "siliguri"));
-    Gossip mate(node(3, 13, "siliguri"));
-    mate.report(reportOf(1, 8), now);
-    exchange(speaker, mate);
-    speaker.report(reportOf(1, 4), now);
-    exchange(outside, speaker);
-    ASSERT_EQ(outside.othersUsage().size(), 1u);
-    EXPECT_EQ(outside.othersUsage()[0].running, 12u);
+    Gossip reporter(node(2, 12, "siliguri"));
+    Gossip peer(node(3, 13, "siliguri"));
+    peer.report(reportOf(1, 8), now);
+    exchange(reporter, peer);
+    reporter.report(reportOf(1, 4), now);
+    exchange(outside, reporter);
+    ASSERT_EQ(outside.otherNodesUsage().size(), 1u);
+    EXPECT_EQ(outside.otherNodesUsage()[0].running, 12u);
     EXPECT_TRUE(outside.table().find(13)->usage.empty());
-    EXPECT_EQ(speaker.othersUsage()[0].running, 8u);
+    EXPECT_EQ(reporter.otherNodesUsage()[0].running, 8u);
 }
 
-TEST(Gossip, OwnNameWithANewerIncarnationIsNoticed)
+TEST(Gossip, DetectsNewerIncarnationOfOwnName)
 {
     Gossip old(node(1, 11));
     Gossip restarted(node(1, 12));
     exchange(restarted, old);
-    EXPECT_TRUE(old.table().replaced());
-    EXPECT_FALSE(restarted.table().replaced());
+    EXPECT_TRUE(old.table().isReplaced());
+    EXPECT_FALSE(restarted.table().isReplaced());
 }
 
-TEST(ListedNodes, AbsenceCountsOnlyOverUpdatesThatLastTheGrace)
+TEST(ListedNodes, AbsentNodeIsGoneOnlyAfterGraceAcrossUpdates)
 {
     MonotonicTime start {};
     ListedNodes listed(Milliseconds(1000));
     NodeId id { "n1", 5 };
-    EXPECT_FALSE(listed.provenGone(id));
+    EXPECT_FALSE(listed.isProvenGone(id));
     listed.update({}, start);
-    EXPECT_FALSE(listed.provenGone(id));
-    EXPECT_FALSE(listed.provenGone(id)); // There was no update since, and time without updates does not count.
+    EXPECT_FALSE(listed.isProvenGone(id));
+    EXPECT_FALSE(listed.isProvenGone(id)); // There was no update since, and time without updates does not count.
     listed.update({}, start + Milliseconds(1000));
-    EXPECT_TRUE(listed.provenGone(id));
+    EXPECT_TRUE(listed.isProvenGone(id));
     std::vector<NodeInfo> back { node(1, 5) };
     listed.update(back, start + Milliseconds(2000));
-    EXPECT_FALSE(listed.provenGone(id));
-    EXPECT_TRUE(listed.provenGone({ "n1", 4 }));
+    EXPECT_FALSE(listed.isProvenGone(id));
+    EXPECT_TRUE(listed.isProvenGone({ "n1", 4 }));
 }
 
-RC_GTEST_PROP(Detector, LiveNodesAreKeptAndDeadOnesLost, ())
+RC_GTEST_PROP(Detector, DeclaresDeadNodesAndKeepsLiveOnes, ())
 {
     SimulationOptions options;
     options.nodes = *rc::gen::inRange<size_t>(3, 10);
     options.zones = *rc::gen::inRange<size_t>(1, 4);
     options.loss = *rc::gen::element(0.0, 0.02, 0.05);
-    options.lagged = *rc::gen::element(0.0, 0.02);
+    options.delayed = *rc::gen::element(0.0, 0.02);
     options.seed = *rc::gen::inRange<uint64_t>(1, 1000000);
     options.teams = 1;
     MembershipSimulation simulation(options);
@@ -188,7 +188,7 @@
 }
 
 // After a pause of its own process, a node must not suspect the nodes whose answers it missed during the pause.
-TEST(Detector, APausedNodeSuspectsNobodyWhenItWakes)
+TEST(Detector, ResumedNodeSuspectsNoOtherNode)
 {
     SimulationOptions options;
     options.nodes = 8;
@@ -201,7 +201,7 @@
     EXPECT_EQ(simulation.falseSuspicions(), 0u);
 }
 
-TEST(Detector, OneObserversWordIsNotEnough)
+TEST(Detector, SingleObserverCannotDeclareNodeDead)
 {
     DigestTable table(node(1, 11));
     Detector detector(node(1, 11));
@@ -239,7 +239,7 @@
     EXPECT_EQ(detector.liveness(12), Liveness::Alive);
 }
 
-TEST(Detector, ANewerIncarnationAtTheAddressProvesTheOldOneGone)
+TEST(Detector, NewerIncarnationAtAddressProvesOldOneGone)
 {
     DigestTable table(node(1, 11));
     Detector detector(node(1, 11));
@@ -251,18 +251,18 @@
     detector.tick(table, now);
     ProbeResult result;
     result.target = 12;
-    result.began = now;
+    result.startedAt = now;
     result.answeredBy = NodeId { "n2", 20 };
-    detector.probed(table, result, now);
+    detector.recordProbe(table, result, now);
     EXPECT_EQ(detector.liveness(12), Liveness::Gone);
     EXPECT_EQ(detector.takeLost(), std::vector<uint64_t> { 12 });
 }
 
 // Three nodes with real transports on loopback. They discover each other through seeds, spread a configuration and
 // detect that one node has stopped.
-TEST(ClusterView, NodesFindShareAndLoseEachOther)
+TEST(ClusterView, NodesDiscoverEachOtherSpreadConfigAndDetectLoss)
 {
-    struct Member {
+    struct TestNode {
         std::mutex mutex;
         std::condition_variable changed;
         AcceptedText text;
@@ -275,17 +275,17 @@
     settings.detector.probePeriod = Milliseconds(20);
     settings.detector.probeTimeout = Milliseconds(200);
     settings.detector.suspicionTime = Milliseconds(100);
-    std::vector<std::unique_ptr<Member>> members;
+    std::vector<std::unique_ptr<TestNode>> members;
     std::vector<NodeInfo> seeds;
     for (size_t i = 0; i < 3; ++i) {
-        members.push_back(std::make_unique<Member>());
-        Member& member = *members.back();
+        members.push_back(std::make_unique<TestNode>());
+        TestNode& member = *members.back();
         ClusterHooks hooks;
         hooks.ownReport = [&member] {
             std::lock_guard lock(member.mutex);
             return reportOf(member.text.version, 2);
         };
-        hooks.adoptText = [&member](const AcceptedText& text) {
+        hooks.adoptConfig = [&member](const AcceptedText& text) {
             std::lock_guard lock(member.mutex);
             member.text = text;
             member.changed.notify_all();
@@ -310,23 +310,23 @@
     }
     for (auto& member : members) {
         member->view->start(*member->transport);
-        member->view->setListed(seeds);
+        member->view->setListedNodes(seeds);
     }
     {
         std::lock_guard lock(members[0]->mutex);
         members[0]->text = { 42, "services" };
     }
-    members[0]->view->nudge();
+    members[0]->view->requestGossipRound();
     for (size_t i = 1; i < 3; ++i) {
         std::unique_lock lock(members[i]->mutex);
-        EXPECT_TRUE(members[i]->changed.wait_for(lock, patience, [&] { return members[i]->text.version == 42; }));
+        EXPECT_TRUE(members[i]->changed.wait_for(lock, testTimeout, [&] { return members[i]->text.version == 42; }));
     }
     NodeId stopped = members[2]->transport->self().id;
     members[2]->view->stop();
     members[2]->transport.reset();
     for (size_t i = 0; i < 2; ++i) {
         std::unique_lock lock(members[i]->mutex);
-        EXPECT_TRUE(members[i]->changed.wait_for(lock, patience, [&] { return members[i]->lost == stopped; }));
+        EXPECT_TRUE(members[i]->changed.wait_for(lock, testTimeout, [&] { return members[i]->lost == stopped; }));
         EXPECT_NE(members[i]->view->liveness(stopped), Liveness::Alive);
     }
     for (auto& member : members)
--- a/tests/node/membershipbench_test.cpp
+++ b/tests/node/membershipbench_test.cpp
@@ -35,7 +35,7 @@
 
 }
 
-TEST(MembershipBench, SameSeedSameFigures)
+TEST(MembershipBench, SameSeedGivesSameFigures)
 {
     constexpr size_t small[] = { 4 };
     auto first = runMembershipBench(7, small);
@@ -45,16 +45,16 @@
         EXPECT_EQ(first[i].rows, second[i].rows);
 }
 
-TEST(MembershipBench, StaysWithinItsBytesAndLosesNoLiveNode)
+TEST(MembershipBench, TrafficIsBoundedAndLiveNodesAreKept)
 {
     auto tables = runMembershipBench(1, sizes());
     for (const BenchTable& table : tables)
         print(table);
-    constexpr double mostKilobytes = 17;
+    constexpr double maxKilobytesPerSecond = 17;
     for (const auto& row : tables.at(0).rows) {
         if (row[2] != "gossip")
             continue;
-        EXPECT_LE(std::stod(row[4]), mostKilobytes) << "kB/s of the busiest node at " << row[0] << " nodes";
+        EXPECT_LE(std::stod(row[4]), maxKilobytesPerSecond) << "kB/s of the busiest node at " << row[0] << " nodes";
     }
     for (const auto& row : tables.at(1).rows) {
         if (row[2] != "gossip")
--- a/tests/node/transport_test.cpp
+++ b/tests/node/transport_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
     // Time-out for operations that should succeed. It is long enough to expire only if there is a fault.
-    constexpr Milliseconds patience { 20000 };
+    constexpr Milliseconds testTimeout { 20000 };
 
     NodeInfo nodeNamed(std::string name, uint64_t incarnation, uint16_t port = 0)
     {
@@ -42,7 +42,7 @@
         std::vector<SlotMessage> waitFor(size_t count)
         {
             std::unique_lock lock(m_mutex);
-            m_changed.wait_for(lock, patience, [&] { return m_messages.size() >= count; });
+            m_changed.wait_for(lock, testTimeout, [&] { return m_messages.size() >= count; });
             return std::exchange(m_messages, {});
         }
 
@@ -126,30 +126,30 @@
 
 }
 
-TEST(Transport, SaysWhoItIs)
+TEST(Transport, HelloReturnsNodeInfo)
 {
     auto node = startNode(nodeNamed("n1", 7));
     auto peer = startNode(nodeNamed("n2", 8));
     EXPECT_NE(peer->self().peerAddress.port, 0);
-    EXPECT_EQ(node->hello(peer->self().peerAddress, patience).value(), peer->self());
+    EXPECT_EQ(node->hello(peer->self().peerAddress, testTimeout).value(), peer->self());
 }
 
-RC_GTEST_PROP(Transport, CarriesEveryKindOfSlotMessage, ())
+RC_GTEST_PROP(Transport, DeliversEachKindOfSlotMessage, ())
 {
     static Inbox inbox;
     static auto receiver = startNode(nodeNamed("n1", 7), { inbox.receiver(), {}, {}, {} });
     static auto sender = startNode(nodeNamed("n2", 8));
-    auto messages = oneOfEach();
+    auto messages = oneMessageOfEachKind();
     RC_ASSERT(messages.size() == std::variant_size_v<SlotMessage>);
     for (const SlotMessage& message : messages)
         sender->send(receiver->self(), message);
     auto received = inbox.waitFor(messages.size());
     RC_ASSERT(received.size() == messages.size());
     for (size_t i = 0; i < messages.size(); ++i)
-        RC_ASSERT(same(messages[i], received[i]));
+        RC_ASSERT(isSameMessage(messages[i], received[i]));
 }
 
-RC_GTEST_PROP(Codec, GossipKeepsEveryField, ())
+RC_GTEST_PROP(Codec, GossipRoundTripKeepsAllFields, ())
 {
     GossipMessage message;
     message.zone = *anyText();
@@ -166,7 +166,7 @@
     RC_ASSERT(fields(decoded.value()) == fields(message));
 }
 
-RC_GTEST_PROP(Codec, DamagedGossipIsAnErrorOrAnotherMessage, (const std::vector<unsigned char>& bytes))
+RC_GTEST_PROP(Codec, DamagedGossipIsRejectedOrDecoded, (const std::vector<unsigned char>& bytes))
 {
     GossipMessage message { "howrah", true, {}, { 1 }, {}, { anyDigest() } };
     auto damaged = encode(message);
@@ -178,7 +178,7 @@
         RC_ASSERT((error->code == ErrorCode::Malformed || error->code == ErrorCode::InvalidArgument));
 }
 
-TEST(Transport, HandsCallsToTheHandlers)
+TEST(Transport, PassesCallsToHandlers)
 {
     PeerHandlers handlers;
     handlers.storedAnswer = [](const std::string& key) {
@@ -193,15 +193,15 @@
     auto peer = startNode(nodeNamed("n1", 7), handlers);
     auto node = startNode(nodeNamed("n2", 8));
     const Address& address = peer->self().peerAddress;
-    auto answer = node->fetchAnswer(address, "k1", patience).value();
+    auto answer = node->fetchAnswer(address, "k1", testTimeout).value();
     EXPECT_EQ(answer.phase, StoredAnswer::Phase::Finished);
     EXPECT_EQ(answer.status, 200);
     EXPECT_EQ(answer.contentType, "text/plain");
     EXPECT_EQ(answer.body, std::string("k1\0!", 4));
-    auto accepted = node->fetchAcceptedText(address, patience).value();
+    auto accepted = node->fetchAcceptedText(address, testTimeout).value();
     EXPECT_EQ(accepted.version, 41u);
     EXPECT_EQ(accepted.text, "services");
-    auto reply = node->exchange(address, { "howrah", false, {}, { 5 }, {}, {} }, patience).value();
+    auto reply = node->exchange(address, { "howrah", false, {}, { 5 }, {}, {} }, testTimeout).value();
     EXPECT_EQ(reply.wanted, (std::vector<uint64_t> { 5, 99 }));
 }
 
@@ -214,7 +214,7 @@
     std::atomic<ErrorCode> blocked = ErrorCode::Timeout;
     PeerHandlers handlers;
     handlers.deliverSlotMessage = [&](const SlotMessage& message) {
-        blocked = codeOf([&] { return echo->hello(asker->self().peerAddress, patience); });
+        blocked = codeOf([&] { return echo->hello(asker->self().peerAddress, testTimeout); });
         echo->send(asker->self(), message);
     };
     auto owned = startNode(nodeNamed("echo", 2), handlers);
@@ -222,7 +222,7 @@
     asker->send(owned->self(), RecordReply { 3, 4, 5, true });
     auto received = inbox.waitFor(1);
     ASSERT_EQ(received.size(), 1u);
-    EXPECT_TRUE(same(received[0], RecordReply { 3, 4, 5, true }));
+    EXPECT_TRUE(isSameMessage(received[0], RecordReply { 3, 4, 5, true }));
     EXPECT_EQ(blocked, ErrorCode::Internal);
 }
 
@@ -231,13 +231,13 @@
     auto node = startNode(nodeNamed("n1", 1));
     auto gone = startNode(nodeNamed("n2", 2));
     NodeInfo target = gone->self();
-    EXPECT_EQ(node->hello(target.peerAddress, patience).value(), target);
+    EXPECT_EQ(node->hello(target.peerAddress, testTimeout).value(), target);
     gone.reset();
     // The first call may still be sent on the old connection. After it, nothing can be sent.
-    ErrorCode first = codeOf([&] { return node->hello(target.peerAddress, patience); });
+    ErrorCode first = codeOf([&] { return node->hello(target.peerAddress, testTimeout); });
     EXPECT_TRUE(first == ErrorCode::Unreachable || first == ErrorCode::BrokenOff);
-    EXPECT_EQ(codeOf([&] { return node->hello(target.peerAddress, patience); }), ErrorCode::Unreachable);
-    EXPECT_EQ(codeOf([&] { return node->fetchAnswer(target.peerAddress, "k", patience); }), ErrorCode::Unreachable);
+    EXPECT_EQ(codeOf([&] { return node->hello(target.peerAddress, testTimeout); }), ErrorCode::Unreachable);
+    EXPECT_EQ(codeOf([&] { return node->fetchAnswer(target.peerAddress, "k", testTimeout); }), ErrorCode::Unreachable);
 }
 
 TEST(Transport, RestartAtTheSameAddressIsANewIncarnation)
@@ -246,34 +246,34 @@
     auto node = startNode(nodeNamed("n1", 1));
     auto old = startNode(nodeNamed("n2", 2));
     NodeInfo before = old->self();
-    EXPECT_EQ(node->hello(before.peerAddress, patience).value().id.incarnation, 2u);
+    EXPECT_EQ(node->hello(before.peerAddress, testTimeout).value().id.incarnation, 2u);
     old.reset();
     auto restarted = startNode(nodeNamed("n2", 3, before.peerAddress.port), { inbox.receiver(), {}, {}, {} });
     // The first call may fail because the old connection is being closed.
-    auto first = settle([&] { return node->hello(before.peerAddress, patience); });
+    auto first = settle([&] { return node->hello(before.peerAddress, testTimeout); });
     const Error* error = std::get_if<Error>(&first);
     EXPECT_TRUE(!error || error->code == ErrorCode::BrokenOff);
-    EXPECT_EQ(node->hello(before.peerAddress, patience).value().id.incarnation, 3u);
+    EXPECT_EQ(node->hello(before.peerAddress, testTimeout).value().id.incarnation, 3u);
     // A message for the old incarnation is dropped by the new one.
     node->send(before, RecordReply { 1, 1, 1, true });
     node->send(restarted->self(), RecordReply { 2, 2, 2, true });
     auto received = inbox.waitFor(1);
     ASSERT_EQ(received.size(), 1u);
-    EXPECT_TRUE(same(received[0], RecordReply { 2, 2, 2, true }));
+    EXPECT_TRUE(isSameMessage(received[0], RecordReply { 2, 2, 2, true }));
     // An indirect probe for the old incarnation reports that it was not reached.
     auto third = startNode(nodeNamed("n3", 4));
-    EXPECT_FALSE(node->probeThrough(third->self().peerAddress, before, patience).value());
-    EXPECT_TRUE(node->probeThrough(third->self().peerAddress, restarted->self(), patience).value());
+    EXPECT_FALSE(node->probeThrough(third->self().peerAddress, before, testTimeout).value());
+    EXPECT_TRUE(node->probeThrough(third->self().peerAddress, restarted->self(), testTimeout).value());
 }
 
-TEST(Transport, SilentPeerIsATimeoutOnceSomethingWasSent)
+TEST(Transport, SilentPeerCausesTimeoutAfterSending)
 {
     SilentListener listener;
     auto node = startNode(nodeNamed("n1", 1));
     EXPECT_EQ(codeOf([&] { return node->hello(listener.address(), Milliseconds(300)); }), ErrorCode::Timeout);
 }
 
-RC_GTEST_PROP(Transport, GarbageCostsAConnectionAndNotTheNode, (const std::string& garbage))
+RC_GTEST_PROP(Transport, InvalidBytesCloseOnlyTheConnection, (const std::string& garbage))
 {
     static auto peer = startNode(nodeNamed("n1", 7));
     static auto node = startNode(nodeNamed("n2", 8));
@@ -281,11 +281,11 @@
     socket.write(garbage);
     socket.endWriting();
     socket.drain();
-    RC_ASSERT(node->hello(peer->self().peerAddress, patience).value() == peer->self());
+    RC_ASSERT(node->hello(peer->self().peerAddress, testTimeout).value() == peer->self());
 }
 
 // A message header announces a size far above the limit. The connection must be closed without waiting for the data.
-TEST(Transport, TooLargeAMessageIsCutOff)
+TEST(Transport, OversizedMessageClosesConnection)
 {
     auto peer = startNode(nodeNamed("n1", 7));
     RawSocket socket(peer->self().peerAddress.port);
@@ -293,19 +293,19 @@
     socket.write(oneHugeSegment);
     socket.drain();
     auto node = startNode(nodeNamed("n2", 8));
-    EXPECT_EQ(node->hello(peer->self().peerAddress, patience).value(), peer->self());
+    EXPECT_EQ(node->hello(peer->self().peerAddress, testTimeout).value(), peer->self());
 }
 
-TEST(Transport, RefusesWhatIsNoIpNumberOrTaken)
+TEST(Transport, RejectsHostNamesAndPortsInUse)
 {
     auto node = startNode(nodeNamed("n1", 7));
-    EXPECT_EQ(codeOf([&] { return node->hello({ "localhost", 80 }, patience); }), ErrorCode::InvalidArgument);
+    EXPECT_EQ(codeOf([&] { return node->hello({ "localhost", 80 }, testTimeout); }), ErrorCode::InvalidArgument);
     NodeInfo taken = nodeNamed("n2", 8, node->self().peerAddress.port);
     EXPECT_EQ(codeOf([&] { return NodeTransport::start(taken, {}); }), ErrorCode::InvalidArgument);
 }
 
 // The backlog of a peer that does not read is limited. Further messages are dropped and counted.
-TEST(Transport, BacklogOfASilentPeerIsBounded)
+TEST(Transport, BacklogOfSilentPeerIsBounded)
 {
     constexpr uint64_t messages = 5000;
     SilentListener listener;
@@ -314,18 +314,18 @@
     for (uint64_t i = 0; i < messages; ++i)
         node->send({ {}, {}, listener.address(), {} }, RecordReply { 1, 1, i, true });
     // Tasks run in order, so all sends have been processed when this call returns.
-    EXPECT_EQ(node->hello(other->self().peerAddress, patience).value(), other->self());
+    EXPECT_EQ(node->hello(other->self().peerAddress, testTimeout).value(), other->self());
     EXPECT_GT(node->droppedSends(), messages / 2);
     EXPECT_LT(node->droppedSends(), messages);
 }
 
 // Calls in flight must fail with ShuttingDown when the transport is destroyed.
-TEST(Transport, ShutdownLeavesNobodyWaiting)
+TEST(Transport, ShutdownFailsCallsInFlight)
 {
     SilentListener listener;
     auto node = startNode(nodeNamed("n1", 1));
     ErrorCode code {};
-    std::thread waiting([&] { code = codeOf([&] { return node->hello(listener.address(), patience); }); });
+    std::thread waiting([&] { code = codeOf([&] { return node->hello(listener.address(), testTimeout); }); });
     listener.waitForBytes();
     node.reset();
     waiting.join();
