--- a/src/node/clusterview.cpp
+++ b/src/node/clusterview.cpp
@@ -299,7 +299,7 @@
 ProbeResult ClusterView::executeProbe(const ProbePlan& plan)
 {
     ProbeResult result;
-    result.target = plan.target.id.incarnation;
+    result.targetIncarnation = plan.target.id.incarnation;
     result.startedAt = monotonicNow();
     Milliseconds timeout = m_settings.detector.probeTimeout;
     auto direct = settle([&] { return m_transport->hello(plan.target.peerAddress, timeout); });
--- a/src/node/detector.cpp
+++ b/src/node/detector.cpp
@@ -66,19 +66,19 @@
 void Detector::recordProbe(const DigestTable& table, const ProbeResult& result, MonotonicTime now)
 {
     detectOwnPause(now);
-    const NodeDigest* target = table.find(result.target);
+    const NodeDigest* target = table.find(result.targetIncarnation);
     if (!target)
         return;
     bool answered = result.answeredBy && *result.answeredBy == target->node.id;
     if (answered || result.helperSuccesses > 0) {
         adjustHealthPenalty(-1);
-        if (auto found = m_suspicions.find(result.target); found != m_suspicions.end())
+        if (auto found = m_suspicions.find(result.targetIncarnation); found != m_suspicions.end())
             found->second.isOwn = false;
         return;
     }
     if (result.answeredBy && result.answeredBy->name == target->node.id.name
-        && result.answeredBy->incarnation > result.target) {
-        markLost(result.target, Liveness::Gone, now);
+        && result.answeredBy->incarnation > result.targetIncarnation) {
+        markLost(result.targetIncarnation, Liveness::Gone, now);
         return;
     }
     if (ignoresFailedProbes(now) || result.startedAt <= m_pauseDetectedAt)
@@ -208,10 +208,10 @@
 
 void Detector::suspect(const DigestTable& table, const ProbeResult& result, MonotonicTime now)
 {
-    const NodeDigest* digest = table.find(result.target);
+    const NodeDigest* digest = table.find(result.targetIncarnation);
     if (!digest)
         return;
-    auto [found, isNew] = m_suspicions.try_emplace(result.target);
+    auto [found, isNew] = m_suspicions.try_emplace(result.targetIncarnation);
     Suspicion& suspicion = found->second;
     if (isNew) {
         suspicion.sequence = digest->sequence;
@@ -260,8 +260,8 @@
     shuffle(helpers, random);
     std::stable_partition(
         helpers.begin(), helpers.end(), [this](const NodeInfo& node) { return node.zone != m_self.zone; });
-    if (helpers.size() > m_options.helpers)
-        helpers.resize(m_options.helpers);
+    if (helpers.size() > m_options.helperCount)
+        helpers.resize(m_options.helperCount);
     return helpers;
 }
 
--- a/src/node/detector.h
+++ b/src/node/detector.h
@@ -14,7 +14,7 @@
 struct DetectorOptions {
     Milliseconds probePeriod { 1000 };
     Milliseconds probeTimeout { 500 }; // Of the direct probe and of each helper's probe.
-    size_t helpers = 3; // Number of nodes asked to probe the target indirectly.
+    size_t helperCount = 3; // Number of nodes asked to probe the target indirectly.
     // Base time from suspicion to the verdict Dead. It is multiplied by log10 of the number of nodes (at least 1), as
     // refutations take longer to spread in a large cluster, and by 1 + the local health penalty.
     Milliseconds suspicionTime { 3000 };
@@ -30,7 +30,7 @@
 
 // Outcome of the probes of one ProbePlan.
 struct ProbeResult {
-    uint64_t target = 0; // Incarnation of the target.
+    uint64_t targetIncarnation = 0;
     MonotonicTime startedAt {};
     std::optional<NodeId> answeredBy; // The node that answered at the target's address, if any.
     size_t helperSuccesses = 0; // Number of helpers that reached the target.
--- a/src/node/simulation.cpp
+++ b/src/node/simulation.cpp
@@ -282,9 +282,9 @@
         return;
     auto sharedPlan = std::make_shared<ProbePlan>(std::move(*plan));
     auto result = std::make_shared<ProbeResult>();
-    result->target = sharedPlan->target.id.incarnation;
+    result->targetIncarnation = sharedPlan->target.id.incarnation;
     result->startedAt = m_now;
-    size_t target = indexOf(result->target);
+    size_t target = indexOf(result->targetIncarnation);
     self.bytesSent += helloCallBytes;
     call(
         node, target, m_options.detector.probeTimeout,
@@ -342,7 +342,7 @@
     Node& self = *m_nodes[node];
     size_t before = self.detector.ownSuspects().size();
     self.detector.recordProbe(self.gossip.table(), result, m_now);
-    const Node& target = *m_nodes[indexOf(result.target)];
+    const Node& target = *m_nodes[indexOf(result.targetIncarnation)];
     if (self.detector.ownSuspects().size() > before && !target.dead && target.pausedUntil <= m_now)
         ++m_falseSuspicions;
 }
--- a/tests/node/gossip_test.cpp
+++ b/tests/node/gossip_test.cpp
@@ -250,7 +250,7 @@
     MonotonicTime now {};
     detector.tick(table, now);
     ProbeResult result;
-    result.target = 12;
+    result.targetIncarnation = 12;
     result.startedAt = now;
     result.answeredBy = NodeId { "n2", 20 };
     detector.recordProbe(table, result, now);
