--- a/src/node/gossip.h
+++ b/src/node/gossip.h
@@ -13,63 +13,66 @@
 
 namespace Kumquatpick {
 
-// What a node has to say of itself now.
+// Current state of this node, to be published in its next digest.
 struct OwnReport {
     bool stopping = false;
     Offset configVersion = 0;
     Offset logOffset = 0;
     uint32_t streams = 0;
     std::vector<TeamUsage> usage;
-    std::vector<SuspicionCount> suspicions; // All that is worth passing on, by whomever it was counted.
+    std::vector<SuspicionCount> suspicions; // Counts to publish, from this and other observers.
     std::vector<IncarnationSequence> suspects;
 };
 
 struct GossipOptions {
     Milliseconds period { 500 }; // Between rounds of exchanges.
-    // Load figures of a node go out at most once in this time for each known node, so that the bytes that a node
-    // receives level off as the cluster grows. What is urgent goes out at once.
+    // A node publishes changed load figures at most once in this time multiplied by the number of known nodes, so that
+    // the received bytes per node level off as the cluster grows. Urgent changes are published at once.
     Milliseconds refreshPerNode { 10 };
-    Milliseconds idleRefresh { 5000 }; // With nothing new to say.
+    Milliseconds idleRefresh { 5000 }; // Interval between digests of a node whose state does not change.
 };
 
-// Newest-wins exchange of digests with random peers. Pure: state, message and time in, next message out.
-// Usage of single nodes stays in its zone; other zones get the sum that one node of the zone makes.
+// Exchange of digests with random peers, in which the latest digest of each node wins. Performs no I/O: the caller
+// passes in messages and the time, and sends the messages that are returned. The usage of single nodes is sent only
+// within their availability zone; other zones receive the zone's total, which one node of the zone computes.
 class Gossip {
 public:
     explicit Gossip(const NodeInfo& self, GossipOptions = {});
 
     void report(const OwnReport&, MonotonicTime now);
-    // Addresses from the membership list, to find nodes that gossip doesn't know (any more).
+    // Nodes of the membership list. They are contacted if they are not, or no longer, in the digest table.
     void setSeeds(std::vector<NodeInfo>);
 
-    // Whom to exchange with this round: one node of our zone, one of another, now and then an unknown seed.
+    // Peers for this round's exchanges: one node of this availability zone, one of another zone and, in some rounds, a
+    // seed that is not in the digest table.
     std::vector<NodeInfo> pickPeers(Random&);
-    // The opening leg, and the answer to any leg; an empty answer ends the exchange.
-    GossipMessage open() const;
+    // openingMessage() returns the first message of an exchange, and answer() the reply to any message. An empty reply
+    // ends the exchange.
+    GossipMessage openingMessage() const;
     GossipMessage answer(const GossipMessage&);
 
-    // A node found dead or, for good, gone.
-    void forget(uint64_t incarnation, bool forGood) { m_table.forget(incarnation, forGood); }
+    // Removes a dead node; permanently if it is proven gone.
+    void forget(uint64_t incarnation, bool permanently) { m_table.forget(incarnation, permanently); }
 
     const DigestTable& table() const { return m_table; }
     // Running and waiting requests at all other nodes, summed by service and team.
-    std::vector<TeamUsage> othersUsage() const;
+    std::vector<TeamUsage> otherNodesUsage() const;
     std::vector<SuspicionCount> suspicions() const;
-    // Some node that has a newer accepted text than this version, at random.
-    std::optional<NodeDigest> newerConfigHolder(Offset version, Random&) const;
+    // A random node that has a newer accepted configuration than this version, if any.
+    std::optional<NodeDigest> nodeWithNewerConfig(Offset version, Random&) const;
 
 private:
     ZoneSummary summary(const std::string& zone, const DigestTable::Zone&) const;
-    ZoneSummary listing(const std::string& zone) const;
-    void compare(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
-    void compareListed(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
-    void compareSequences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
-    void pushUnlistedZones(const GossipMessage&, GossipMessage& out) const;
-    bool worthPassing(
+    ZoneSummary memberList(const std::string& zone) const;
+    void addDifferences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
+    void addMemberDifferences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
+    void addSequenceDifferences(const ZoneSummary&, const std::string& peerZone, GossipMessage& out) const;
+    void addUnlistedZones(const GossipMessage&, GossipMessage& out) const;
+    bool shouldTransfer(
         const std::string& zone, const std::string& peerZone, const std::string& receiverZone, uint64_t lag) const;
     NodeDigest updateFor(const std::string& peerZone, const NodeDigest&, bool knowsNode) const;
     std::vector<TeamUsage> ownZoneUsage(const std::vector<TeamUsage>& own) const;
-    bool speaksForZone() const;
+    bool reportsForZone() const;
     Milliseconds refreshPeriod() const;
 
     GossipOptions m_options;
--- a/tests/node/generators.h
+++ b/tests/node/generators.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// Random messages of each kind, and their fields as tuples to compare them by.
+// Generators of random messages, and functions that return a message's fields as a tuple for comparison.
 
 inline rc::Gen<std::string> anyText() { return rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~')); }
 
@@ -47,8 +47,8 @@
     return entries;
 }
 
-// One message of each variant, in the variant's order.
-inline std::vector<SlotMessage> oneOfEach()
+// One random message of each alternative of SlotMessage, in the order of the variant.
+inline std::vector<SlotMessage> oneMessageOfEachKind()
 {
     return {
         PermitRequest { anyNumber(), anyNumber(), anyRequestKey(), anyArrival(), anyNode() },
@@ -61,7 +61,7 @@
     };
 }
 
-// Finds the fields() of its element type when it is used.
+// Argument-dependent lookup finds the overload of fields() for the element type, which is declared below.
 template <typename Element> auto allFields(const std::vector<Element>& list)
 {
     std::vector<decltype(fields(list.front()))> all;
@@ -106,7 +106,7 @@
 
 inline auto fields(const CopyReply& in) { return std::tuple(in.slot, in.epoch, in.partner, in.part); }
 
-inline bool same(const SlotMessage& left, const SlotMessage& right)
+inline bool isSameMessage(const SlotMessage& left, const SlotMessage& right)
 {
     return std::visit(
         []<typename Left, typename Right>(const Left& one, const Right& other) {
