--- a/src/fleet/host.h
+++ b/src/fleet/host.h
@@ -13,7 +13,7 @@
 
 namespace Kumquatpick {
 
-// A host's part in a replica, as the host itself reports it.
+// The state of a host's membership in a replica, as reported by the host.
 enum class MemberState : uint8_t {
     Joining, // Loading the model.
     Ready, // The model is loaded; the head may be opened.
@@ -40,9 +40,10 @@
     std::optional<uint64_t> ordersAccepted; // By this incarnation. Only in a host's own report, not in the list.
     std::string model; // Of its membership.
     std::string lastModel; // Of this incarnation's latest membership; joining it again needs no load.
-    std::vector<std::string> stagedModels; // Copies on the host, which load in the model's warmLoad.
+    // Models with a local copy on the host. Loading from it takes the model's warmLoad time.
+    std::vector<std::string> stagedModels;
     std::optional<Membership> membership;
-    std::string domain; // Hosts of one domain form fast replicas.
+    std::string domain; // Replicas whose hosts are all in one domain are faster.
 
     bool operator==(const HostStatus&) const = default;
     bool isStaged(std::string_view wanted) const
--- a/src/fleet/listreaders.cpp
+++ b/src/fleet/listreaders.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-    // Two, so that one continues while the other fails.
+    // With two readers, one continues if the other fails.
     constexpr size_t readersPerZone = 2;
     constexpr const char* duty = "read-hosts";
     constexpr Milliseconds retryDelay { 2000 };
-    // A few rounds of requests; a leaving host may get work for up to two seconds.
+    // Covers a few rounds of requests and is below the two seconds for which a leaving host may still get work.
     constexpr Milliseconds storeReadDelay { 1000 };
-    // Time for the readers to list about a thousand hosts from a store that a whole fleet has just sent requests to.
+    // Time that readers need to list about a thousand hosts from a store that has just got requests from the whole
+    // fleet.
     constexpr Milliseconds readerGracePeriod { 6000 };
 
 }
--- a/src/fleet/listreaders.h
+++ b/src/fleet/listreaders.h
@@ -15,9 +15,9 @@
 // Chooses which nodes of a zone read the list of hosts from the store, which nodes the others ask for it, and when they
 // may read the store themselves. Not thread-safe; does no I/O.
 //
-// The store can send the list of a large fleet to only a few nodes at once. While hundreds of nodes request it, none is
-// answered in time, including the few readers, and abandoned and repeated requests keep the store overloaded.
-// Configurations, which take the same path, were up to 19 s late.
+// The store can send the list of a large fleet to only a few nodes at once. While hundreds of nodes request it, none of
+// them, including the few readers, is answered in time, and timed-out and repeated requests keep the store overloaded.
+// This delayed configurations, which are read from the same store, by up to 19 s.
 class ListReaders {
 public:
     // self: the address by which the other nodes of the zone reach this one.
--- a/src/fleet/loadboard.cpp
+++ b/src/fleet/loadboard.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Ten exchange rounds, so that a single late answer has no effect.
+    // Covers ten rounds of the load exchange, so that a single late answer has no effect.
     constexpr Milliseconds reportLifetime { 1000 };
 
 }
--- a/src/fleet/loadboard.h
+++ b/src/fleet/loadboard.h
@@ -12,8 +12,9 @@
 // Requests in flight at the backend servers, by host.
 using LoadsByHost = std::map<std::string, uint32_t, std::less<>>;
 
-// Requests in flight of a zone's nodes, added up by one of them for all, and the totals of the other zones. Reports
-// older than one second are ignored: the sender has stopped or reports to another node. Not thread-safe.
+// Adds up the requests in flight that the nodes of a zone report, and stores the totals of the other zones. One node
+// of each zone does this for all its nodes. Reports older than one second are ignored: the sender has stopped or
+// reports to another node. Not thread-safe.
 class LoadBoard {
 public:
     void applyNodeReport(std::string_view node, LoadsByHost, MonotonicTime now);
@@ -21,7 +22,7 @@
 
     // Whether any node reported its loads recently, so that this node aggregates for the zone.
     bool hasNodeReports(MonotonicTime now) const;
-    // Whether the zone's total is younger than this.
+    // Whether the zone's total was received within the given time.
     bool hasRecentZoneTotal(std::string_view zone, Milliseconds within, MonotonicTime now) const;
     // Total of this zone's nodes.
     LoadsByHost zoneTotal(MonotonicTime now) const;
--- a/src/fleet/logreads.cpp
+++ b/src/fleet/logreads.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-    // A few times the store's usual answer time, also when it is slow.
+    // A few times the store's usual answer time, including when it is slow.
     constexpr Milliseconds answerTimeout { 700 };
     // Duration of the read after a lost one, with a slow store.
     constexpr Milliseconds slowAnswerTime { 200 };
-    // Share of the maximum delay; the rest is for forwarding records to nodes that do not read the store.
+    // Share of the maximum delay that a read may use. The rest is for forwarding records to nodes that do not read the
+    // store.
     constexpr double readersShare = 0.75;
     constexpr Milliseconds minWait { 100 };
     constexpr Milliseconds initialPause { 100 };
@@ -32,8 +33,8 @@
 {
 }
 
-// A lost read costs its wait and its time-out, or, after earlier lost reads, its time-out and the pause. The next read
-// is answered.
+// A lost read delays records by its long-poll time and its time-out, or, after earlier lost reads, by its time-out and
+// the pause. The next read is assumed to be answered.
 LogReads LogReads::forMaxDelay(Milliseconds within)
 {
     auto readerBudget = std::chrono::duration_cast<Milliseconds>(within * readersShare);
--- a/src/fleet/looppauses.h
+++ b/src/fleet/looppauses.h
@@ -6,10 +6,10 @@
 
 namespace Kumquatpick {
 
-// Measures pauses of this node's event loop by how late a timer fires. During a pause, answers wait unread and
-// time-outs expire, so a time-out then says nothing about the remote side. A node with a twelfth of a core that planned
-// 760 hosts paused for a second, considered 500 hosts unresponsive, asked eight peers to probe each, and never caught
-// up. Not thread-safe. The caller passes the time in.
+// Measures pauses of this node's event loop by how late a timer fires. During a pause, answers are not read
+// and time-outs expire, so such a time-out is no evidence of a failure of the remote side. While planning 760 hosts, a
+// node with a twelfth of a core paused for a second, classified 500 hosts as unresponsive, had eight peers probe each
+// of them, and never worked off the backlog. Not thread-safe. The caller passes the time in.
 class LoopPauses {
 public:
     // The timer fired now and is due again at nextDue.
--- a/src/fleet/mechanism.h
+++ b/src/fleet/mechanism.h
@@ -9,21 +9,21 @@
 
 // Parts of the policy that can be disabled to measure the effect of each; not used for anything else.
 enum class Mechanism : uint8_t {
-    Shift, // Replicas give up their hosts to a model that is shorter of capacity.
+    Shift, // Hosts of replicas are reassigned to a model with a larger shortage of capacity.
     SecondModels, // Serving hosts load a second model.
     StuckLoads, // Idle hosts holding a model that their domain has too few hosts for load another model.
     Homes, // The first plan places the replicas of a model together in domains.
     StandingCut, // Streams of a stalled replica are closed at once.
     Resume, // A broken stream is resumed at another replica.
     ReturnOrder, // Retries by callers go before first tries.
-    EarlyRefusal, // A call that finds no free slot is refused at once instead of being queued for a while.
+    EarlyRefusal, // A call is refused at once if no slot is free, instead of being queued for a limited time.
     ReturnSpread, // Callers that are refused together get different retry times.
     RelayedProbes, // Peers probe a host that does not answer this node.
     ConditionalJoins, // A host refuses a join if it accepted another order in the meantime.
     StoreReaders, // A few nodes of a zone read the list of hosts for the others.
     ControlCandidates, // Only a few nodes follow the controller's log and may take over.
     LoadExchange, // One node of a zone adds up the requests in flight of all its nodes.
-    LargerFirst, // Hosts that a larger model needs don't join a smaller model that has enough.
+    LargerFirst, // Hosts that a larger model needs do not join a smaller model that has enough hosts.
 };
 
 inline constexpr std::array mechanismNames { "shift", "second-models", "stuck-loads", "homes", "standing-cut", "resume",
--- a/src/fleet/ordercounts.h
+++ b/src/fleet/ordercounts.h
@@ -12,9 +12,9 @@
 
 namespace Kumquatpick {
 
-// The number of orders that each host has accepted, as known to the controller that sends them: from the host's reports
-// and from the answers to later orders. A join carries this number, and a host refuses it if it has accepted any other
-// order meanwhile, delayed or from another controller. A wrong number costs one refused join and one report.
+// The controller's count of the orders that each host has accepted, from the host's reports and from the answers to
+// later orders. A join carries this count, and a host refuses it if it has accepted any other order in the meantime,
+// such as a delayed one or one from another controller. A wrong count costs one refused join and one report.
 //
 // Reports lag by about 200 ms; without the answers, each move of a host would wait that long. Not thread-safe.
 class OrderCounts {
--- a/src/fleet/patienceprofile.cpp
+++ b/src/fleet/patienceprofile.cpp
@@ -9,8 +9,8 @@
     constexpr double highQuantileShare = 0.95;
     // Relative step per call; an estimate settles after about 50 calls.
     constexpr double step = 0.005;
-    // For evenly distributed first tries, the distance from the high quantile to the minimum is this multiple of the
-    // distance to the median (0.95 / 0.45). Retries lower the median, which only loosens the bound.
+    // For uniformly distributed first attempts, the distance from the high quantile to the minimum is this multiple of
+    // the distance to the median (0.95 / 0.45). Retries lower the median, which only loosens the bound.
     constexpr double spreadFactor = 2.2;
 
     void updateQuantile(std::optional<double>& quantile, double share, double value)
--- a/src/fleet/patienceprofile.h
+++ b/src/fleet/patienceprofile.h
@@ -6,14 +6,14 @@
 
 namespace Kumquatpick {
 
-// Tracks the timeouts that the callers of a route set, called patience here, to detect retries: a caller that was
-// refused retries with the rest of its timeout. Timeouts also differ between callers, so the usual spread does not
-// count as a retry.
+// Tracks the timeouts that the callers of a route set, to detect retries: a caller that was refused retries with the
+// remaining part of its timeout. Timeouts also differ between callers, so their usual spread does not count as a
+// retry.
 //
-// When compared with the longest timeout alone, two calls in three were taken for retries where timeouts vary by 15%.
+// A comparison with the longest timeout alone classified two calls in three as retries where timeouts vary by 15%.
 class PatienceProfile {
 public:
-    // Records the timeout of a call. Returns whether it is too short for a first try by at least leastDelay.
+    // Records the timeout of a call. Returns whether it is too short for a first attempt by at least leastDelay.
     bool cameBack(Milliseconds patience, Milliseconds leastDelay);
 
 private:
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // Of the largest CPU share. Nodes above this ratio are treated as equally suitable.
+    // Ratio to the largest CPU share. Nodes above it are treated as equally suitable.
     constexpr double largeShareRatio = 0.5;
 
     double largestShare(std::span<const DutyNode> nodes)
--- a/src/gateway/controllerloop.cpp
+++ b/src/gateway/controllerloop.cpp
@@ -25,11 +25,12 @@
     constexpr size_t maxStatusCalls = 48;
     // Hosts polled through peers at the same time, each of them through several peers.
     constexpr size_t maxRelayedCalls = 16;
-    // Newest statuses sent in one digest: those of a replica or two that a plan changes. With the whole initial plan,
-    // each digest was 190 KB and was sent thirty times a second.
+    // Only the newest statuses are sent in a digest, enough for one or two replicas that a plan changes. With all
+    // statuses of the initial plan, each digest was 190 KB and was sent thirty times a second.
     constexpr size_t maxStatusesPerDigest = 48;
     constexpr int failuresUntilSilent = 2;
-    // If this node's event loop was blocked for longer during an unanswered status request, the delay may be its own.
+    // If this node's event loop was blocked for longer during an unanswered status request, the delay may have been on
+    // this node.
     constexpr Milliseconds maxExcusedPause { 40 };
     // Enough to distinguish a dead host from one behind a partition; all peers in a small fleet.
     constexpr size_t maxRelayPeers = 8;
--- a/src/gateway/controllerloop.h
+++ b/src/gateway/controllerloop.h
@@ -75,15 +75,15 @@
     uint64_t m_fencing = 0; // Fencing number of the planners.
     std::map<std::string, std::unique_ptr<ReplicaPlanner>> m_planners; // By service.
     std::map<std::string, Contact, std::less<>> m_contacts;
-    // Of all hosts listed since the lease began, including removed ones.
+    // Addresses of all hosts listed since the lease began, including removed ones.
     std::map<std::string, Address, std::less<>> m_addresses;
-    // Time to which the latest status of a host refers.
+    // By host: the time to which its latest status refers.
     std::map<std::string, MonotonicTime, std::less<>> m_statusTimes;
     std::map<std::string, ReplicaDemand, std::less<>> m_demand; // By model.
     MonotonicTime m_summaryAt {};
     uint64_t m_addressesVersion = UINT64_MAX; // Version of the host table that m_addresses was updated from.
     size_t m_statusCalls = 0; // In progress.
-    size_t m_relayedCalls = 0; // Those of them that go through peers.
+    size_t m_relayedCalls = 0; // The part of m_statusCalls that goes through peers.
 };
 
 } // namespace Kumquatpick
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-    // A leaving host may still be sent work for two seconds.
+    // Must be below two seconds, for which a leaving host may still get work.
     constexpr Milliseconds maxHostLongPoll { 1000 };
     // Hosts write continuously; one read returns all records written in this interval.
     constexpr Milliseconds hostReadPause { 400 };
 
-    constexpr int ticksPerSecond = 20; // In units of maintenancePeriod; tasks that run once a second.
-    // A node whose event loop is blocked for longer responds too late to everything; each such pause is logged.
+    constexpr int ticksPerSecond = 20; // Maintenance ticks per second; some tasks run only once a second.
+    // A longer pause of the event loop delays all responses too much. Each such pause is logged.
     constexpr Milliseconds longPause { 200 };
 
     // Callers use an outdated list of nodes for up to three times its lifetime; by then their connections have moved to
@@ -272,8 +272,8 @@
     asio::co_spawn(m_context.io, stopGracefully(), asio::detached);
 }
 
-// Callers learn of the shutdown with their next request for the list of nodes; this node serves until the latest of
-// them has done so. Only then are connections without a request closed.
+// A stopping node is no longer in the list of nodes that callers request. It serves calls until every caller must have
+// refreshed its list. Only then are connections without a request closed.
 asio::awaitable<void> Gateway::stopGracefully()
 {
     MonotonicTime begun = m_context.now();
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -29,11 +29,11 @@
     constexpr const char* configTarget = "/config";
     constexpr const char* hostsTarget = "/hosts?from=";
     constexpr Milliseconds readTimeout { 300 };
-    // For the body: a list of some thousand hosts over a link of 20 Mbit/s.
+    // Allows for a list of some thousand hosts over a link of 20 Mbit/s.
     constexpr Milliseconds listBodyTimeout { 3000 };
-    // A reader that got no response from the store for longer may be separated from it.
+    // A reader that got no response from the store for longer may be partitioned from it.
     constexpr Milliseconds maxReaderAge { 1000 };
-    // For the body: a text of some 100 KB over a link of 20 Mbit/s that is shared with callers.
+    // Allows for a text of some 100 KB over a link of 20 Mbit/s that is shared with callers.
     constexpr Milliseconds configBodyTimeout { 1500 };
     constexpr Milliseconds relayedTimeout { 100 };
 
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -41,7 +41,7 @@
     // While the predicate is true, the store does not deliver configurations, so they are fetched from peers without
     // waiting for it.
     void fetchConfigsWhile(std::function<bool()> holds) { m_fetchesConfigs = std::move(holds); }
-    // When a node that reads the store for this one last confirmed there which configuration is the newest.
+    // Last time at which a node that reads the store for this one confirmed there which configuration is the newest.
     MonotonicTime configConfirmedAt() const { return m_configConfirmedAt; }
     // Whether a peer has a newer configuration than this node.
     bool knowsNewerConfig() const;
@@ -62,7 +62,7 @@
     // Addresses for callers of other live nodes that take requests.
     std::vector<std::string> callerAddresses(std::string_view zone) const;
     size_t aliveCount() const;
-    // Whether this incarnation of a node, named as by incarnationName(), recently sent a digest.
+    // Whether the given incarnation of a node, in the format of incarnationName(), recently sent a digest.
     bool isIncarnationAlive(std::string_view life) const;
     void addKnown(const Address&);
     // Visits the digests of live peers.
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    // For the body: many versions of a long text, over a link that is shared with callers.
+    // Allows for many versions of a long text over a link that is shared with callers.
     constexpr Milliseconds bodyTimeout { 1500 };
     constexpr Milliseconds inactivePollPeriod { 200 };
     // Delay before peers are asked again instead of the store, as a few more digests may name other peers.
@@ -21,9 +21,9 @@
     constexpr int failuresUntilPeerListing = 3;
     // Records after the end of an older listing may have expired.
     constexpr Milliseconds maxListingAge { 15'000 };
-    // Peers are read every half second.
+    // Peers are read every half second, so this covers three reads.
     constexpr Milliseconds peerReadValidity { 1500 };
-    // Meanwhile, a node that cannot use the store reads from its peers.
+    // Interval between attempts to read an unavailable store. In between, the node reads from its peers.
     constexpr Milliseconds storeRetryDelay { 1000 };
     // A single lost response is not an outage.
     constexpr int failuresUntilOutage = 2;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Costs used by the score, tuned with `kumquatpick bench`; docs/PLACEMENT.md lists the values tried.
+    // Costs used by the score. `kumquatpick bench` compares values; docs/PLACEMENT.md lists those tried.
     constexpr double domainLossCost = 1.0; // Losing the whole service with the domain.
     constexpr double zoneImbalanceCost = 0.5;
     constexpr double coldLoadCost = 0.6; // Loading every host from the weight store.
--- a/tests/fleet/loadboard_test.cpp
+++ b/tests/fleet/loadboard_test.cpp
@@ -18,7 +18,7 @@
     board.applyZoneTotal("howrah", { { "head-2", 7 } }, start);
     EXPECT_EQ(board.zoneTotal(start), (LoadsByHost { { "head-1", 5 }, { "head-2", 5 } }));
     EXPECT_EQ(board.totalExcept("a", start), (LoadsByHost { { "head-1", 2 }, { "head-2", 12 } }));
-    EXPECT_EQ(board.totalExcept("stranger", start), (LoadsByHost { { "head-1", 5 }, { "head-2", 12 } }));
+    EXPECT_EQ(board.totalExcept("c", start), (LoadsByHost { { "head-1", 5 }, { "head-2", 12 } }));
 }
 
 TEST(LoadBoard, UsesTheLatestReportOfANode)
@@ -27,7 +27,7 @@
     board.applyNodeReport("a", { { "head-1", 3 } }, start);
     board.applyNodeReport("a", {}, start + Milliseconds(200));
     EXPECT_TRUE(board.zoneTotal(start + Milliseconds(200)).empty());
-    EXPECT_TRUE(board.hasNodeReports(start + Milliseconds(200))) << "a node without calls reports all the same";
+    EXPECT_TRUE(board.hasNodeReports(start + Milliseconds(200))) << "a node without calls still counts as reporting";
 }
 
 // The requests of a node that stopped, or of a zone that is partitioned, must not count forever.
--- a/tests/fleet/logreads_test.cpp
+++ b/tests/fleet/logreads_test.cpp
@@ -12,9 +12,9 @@
 
     constexpr MonotonicTime start { std::chrono::hours(1) };
     constexpr Milliseconds storeAnswerTime { 4 };
-    // Within which a change must take effect at every node that is connected to the store.
+    // Time within which a change must take effect at every node that is connected to the store.
     constexpr Milliseconds maxDelay { 2000 };
-    // From a node that follows the log to one that polls it several times a second.
+    // Time to forward a record from a node that follows the log to one that polls that node several times a second.
     constexpr Milliseconds forwardingDelay { 450 };
 
     // An outage during which the store answers neither new nor waiting calls.
@@ -65,12 +65,11 @@
 
 }
 
-// Guards against a fault in which callers were served by old configurations more than 2 s after the store had accepted
-// newer ones. The store was down for 6 s. Every node lost the read that the store was holding, and also the next one,
-// sent shortly before the store recovered: it blocked its node until its time-out of 4.7 s, although the store had been
-// serving every call for 3 s and answered reads of the host list. The logs showed two reads of 4.70 s, 0.1 s apart, and
-// then all versions at once. The test starts an outage at every point of a read, with every length up to 12 s, and has
-// the store accept a change as soon as it recovers.
+// Guards against serving old configurations for more than 2 s after the store accepted newer ones. After an outage of
+// 6 s, every node had lost the long-polling read in progress and also the next one, sent 0.1 s later while the store
+// was still down. The second read blocked its node until its time-out of 4.7 s, although the store had answered all
+// other calls for 3 s. The test starts an outage at every point of a read, with every length up to 12 s, and has the
+// store accept a change as soon as it recovers.
 TEST(LogReads, ReadsEachRecordInTimeAfterAnOutageOfAnyLength)
 {
     constexpr Milliseconds timeStep { 100 };
@@ -81,14 +80,14 @@
             for (double draw : { 0.0, 1.0 }) {
                 Milliseconds delay = longestDelay({ LogReads::forMaxDelay(maxDelay), draw }, accepted, { silence });
                 ASSERT_LE(delay + forwardingDelay, maxDelay)
-                    << "silent from " << begin.count() << " ms on for " << length.count();
+                    << "outage from " << begin.count() << " ms, length in ms " << length.count();
             }
         }
     }
 }
 
-// With repeated outages, before nodes have recovered, and frequent changes, no record is late that the store accepted
-// while it was serving.
+// Records that the store accepts while it is serving must be read in time, also with frequent changes and with repeated
+// outages that begin before the nodes have recovered from the last one.
 RC_GTEST_PROP(LogReads, ReadsEachRecordOfAServingStoreInTime, ())
 {
     auto within = Milliseconds(*rc::gen::inRange(2000, 6000));
--- a/tests/fleet/ordercounts_test.cpp
+++ b/tests/fleet/ordercounts_test.cpp
@@ -69,21 +69,21 @@
     report(1, start + Milliseconds(25));
     EXPECT_EQ(counts.known(hosts, "a"), 3u) << "the report is older than the last order's end";
     report(4, start + Milliseconds(40));
-    EXPECT_EQ(counts.known(hosts, "a"), 4u) << "another sender gave an order";
+    EXPECT_EQ(counts.known(hosts, "a"), 4u) << "the host accepted an order from another sender";
 }
 
-// A leave is answered the same way whether or not the host was a member, but only a member counts it. Wrong guesses
-// kept a pool of staged hosts idle for ten seconds: each round of joins failed at the hosts whose count was wrong.
+// A leave is answered the same way whether or not the host was a member, but only a member counts it. Wrong counts
+// left a pool of staged hosts idle for ten seconds, because each round of joins failed at the hosts concerned.
 TEST_F(OrderCountsTest, CountsALeaveOnlyOfAMember)
 {
     report(1, start);
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(10));
-    EXPECT_EQ(counts.known(hosts, "a"), 1u) << "it reported that it is member of none";
+    EXPECT_EQ(counts.known(hosts, "a"), 1u) << "the host reported no membership";
     runOrder(OrderKind::Join, OrderResult::Accepted, start + Milliseconds(20));
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(30));
-    EXPECT_EQ(counts.known(hosts, "a"), 3u) << "it had accepted the join, though no report shows that yet";
+    EXPECT_EQ(counts.known(hosts, "a"), 3u) << "the host accepted the join, although no report shows it yet";
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(40));
-    EXPECT_FALSE(counts.known(hosts, "a")) << "no longer certain";
+    EXPECT_FALSE(counts.known(hosts, "a")) << "without a report or a join, the membership is unknown";
     report(3, start + Milliseconds(50), Membership { "replica", 6, 0, MemberState::Ready });
     runOrder(OrderKind::Leave, OrderResult::Holds, start + Milliseconds(60), 6);
     EXPECT_EQ(counts.known(hosts, "a"), 4u);
--- a/tests/fleet/patienceprofile_test.cpp
+++ b/tests/fleet/patienceprofile_test.cpp
@@ -16,8 +16,8 @@
 
 }
 
-// Callers have 85 to 100% of the longest timeout, as phones set their timers. One in six calls is a retry after a
-// refusal and has 1.5 to 3 s less.
+// First attempts have timeouts of 85 to 100% of the longest one, as set by phones. One in six calls is a retry after a
+// refusal, and its timeout is 1.5 to 3 s shorter.
 TEST(PatienceProfile, IgnoresTheUsualSpread)
 {
     PatienceProfile profile;
@@ -31,8 +31,8 @@
         firstTriesCounted += !isRetry && isCounted;
         retriesCounted += isRetry && isCounted;
     }
-    EXPECT_LT(firstTriesCounted, 25) << "of some 2,550";
-    EXPECT_GT(retriesCounted, 200) << "of 450";
+    EXPECT_LT(firstTriesCounted, 25) << "of about 2,550 first attempts";
+    EXPECT_GT(retriesCounted, 200) << "of 450 retries";
 }
 
 TEST(PatienceProfile, DetectsRetriesAmongCallersWithOneTimeout)
--- a/tests/fleet/rendezvous_test.cpp
+++ b/tests/fleet/rendezvous_test.cpp
@@ -58,9 +58,10 @@
         auto node = std::ranges::find(seen, chosen, &DutyNode::address);
         EXPECT_TRUE(isStrong(*node, seen)) << chosen;
     }
-    EXPECT_EQ(chooseNodes(seen, "hosts", 95).size(), 95u) << "others follow where these are too few";
+    EXPECT_EQ(chooseNodes(seen, "hosts", 95).size(), 95u)
+        << "the other nodes are used if there are too few with a large CPU share";
     std::vector<DutyNode> weak(seen.begin() + 15, seen.end());
-    EXPECT_EQ(chooseNodes(weak, "hosts", 2).size(), 2u) << "any node takes over once all of these are gone";
+    EXPECT_EQ(chooseNodes(weak, "hosts", 2).size(), 2u) << "the other nodes are used if none has a large CPU share";
     EXPECT_TRUE(isStrong(weak[0], weak));
 }
 
--- a/tests/policy/suspicion_test.cpp
+++ b/tests/policy/suspicion_test.cpp
@@ -111,7 +111,7 @@
     EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Stopped);
 }
 
-// Several nodes ran copies of a popular request on one server. Its single death counted once per node.
+// Guards against counting the death of one server once per node when several nodes run the same request on it.
 TEST(Suspicion, OneDeathObservedByManyNodesCountsOnce)
 {
     std::vector<SuspicionState> nodes { SuspicionState(1), SuspicionState(2), SuspicionState(3), SuspicionState(4) };
@@ -130,7 +130,7 @@
             EXPECT_EQ(node.deaths(7, now), uint32_t(i + 1));
         }
     }
-    // Deaths without ids are added up, as they cannot be recognised as the same.
+    // Deaths without ids are added up, because duplicates among them cannot be detected.
     std::vector<SuspicionCount> unnamed { { 8, 5, 1 }, { 8, 6, 2 } };
     nodes[0].merge(unnamed, start);
     EXPECT_EQ(nodes[0].deaths(8, start), 3U);
