--- a/src/caller/dispatch.cpp
+++ b/src/caller/dispatch.cpp
@@ -23,7 +23,7 @@
     DispatchEnd dispatchEnd(ErrorCode code)
     {
         if (code == ErrorCode::Refused)
-            return DispatchEnd::NotTaken;
+            return DispatchEnd::NotAccepted;
         return code == ErrorCode::CallerGone ? DispatchEnd::CallerGone : DispatchEnd::Failed;
     }
 
@@ -68,7 +68,7 @@
         auto view = m_parts.directory.replica(m_request.service, name, now);
         if (view && view->reason == NotServing::No)
             return view;
-        m_parts.router.ended(m_request.service, name, DispatchEnd::NotTaken, now);
+        m_parts.router.ended(m_request.service, name, DispatchEnd::NotAccepted, now);
         avoid.push_back(std::move(name));
     }
     return std::nullopt;
--- a/src/fleet/listreaders.cpp
+++ b/src/fleet/listreaders.cpp
@@ -29,22 +29,22 @@
     return failed != m_failedAt.end() && now - failed->second < retryDelay;
 }
 
-std::vector<std::string> ListReaders::readersOf(std::span<const DutyNode> zone, MonotonicTime now) const
+std::vector<std::string> ListReaders::readersOf(std::span<const CandidateNode> zone, MonotonicTime now) const
 {
-    std::vector<DutyNode> nodes;
+    std::vector<CandidateNode> nodes;
     std::ranges::copy_if(
-        zone, std::back_inserter(nodes), [&](const DutyNode& node) { return !hasFailed(node.address, now); });
+        zone, std::back_inserter(nodes), [&](const CandidateNode& node) { return !hasFailed(node.address, now); });
     return chooseNodes(nodes, duty, readersPerZone);
 }
 
-std::vector<std::string> ListReaders::readersToQuery(std::span<const DutyNode> ownZone, MonotonicTime now) const
+std::vector<std::string> ListReaders::readersToQuery(std::span<const CandidateNode> ownZone, MonotonicTime now) const
 {
     auto readers = readersOf(ownZone, now);
     bool isReader = std::ranges::find(readers, m_self) != readers.end();
     return isReader ? std::vector<std::string>() : readers;
 }
 
-void ListReaders::failed(std::string_view node, MonotonicTime now)
+void ListReaders::recordFailure(std::string_view node, MonotonicTime now)
 {
     std::erase_if(m_failedAt, [&](const auto& entry) { return now - entry.second >= retryDelay; });
     m_failedAt.insert_or_assign(std::string(node), now);
--- a/src/fleet/listreaders.h
+++ b/src/fleet/listreaders.h
@@ -25,11 +25,11 @@
 
     // The readers of a zone, in this node's view. Nodes that recently failed to provide the list are replaced by the
     // next ones, long before failure detection in a large fleet removes them.
-    std::vector<std::string> readersOf(std::span<const DutyNode> zone, MonotonicTime now) const;
+    std::vector<std::string> readersOf(std::span<const CandidateNode> zone, MonotonicTime now) const;
     // The nodes of the own zone to ask for the list; empty if this node is a reader.
-    std::vector<std::string> readersToQuery(std::span<const DutyNode> ownZone, MonotonicTime now) const;
+    std::vector<std::string> readersToQuery(std::span<const CandidateNode> ownZone, MonotonicTime now) const;
 
-    void failed(std::string_view node, MonotonicTime now);
+    void recordFailure(std::string_view node, MonotonicTime now);
     // A node provided the list, or this node is a reader itself.
     void recordSuccess() { m_missedSince.reset(); }
     // Whether this node may read the store itself after no node provided the list: after one second if no node of the
--- a/src/fleet/loadboard.cpp
+++ b/src/fleet/loadaggregator.cpp
@@ -1,4 +1,4 @@
-#include "fleet/loadboard.h"
+#include "fleet/loadaggregator.h"
 
 #include <algorithm>
 
@@ -11,29 +11,29 @@
 
 }
 
-void LoadBoard::applyNodeReport(std::string_view node, LoadsByHost loads, MonotonicTime now)
+void LoadAggregator::applyNodeReport(std::string_view node, LoadsByHost loads, MonotonicTime now)
 {
     std::erase_if(m_nodes, [&](const auto& entry) { return now - entry.second.at > reportLifetime; });
     m_nodes.insert_or_assign(std::string(node), LoadReport { std::move(loads), now });
 }
 
-void LoadBoard::applyZoneTotal(std::string_view zone, LoadsByHost loads, MonotonicTime now)
+void LoadAggregator::applyZoneTotal(std::string_view zone, LoadsByHost loads, MonotonicTime now)
 {
     m_zones.insert_or_assign(std::string(zone), LoadReport { std::move(loads), now });
 }
 
-bool LoadBoard::hasNodeReports(MonotonicTime now) const
+bool LoadAggregator::hasNodeReports(MonotonicTime now) const
 {
     return std::ranges::any_of(m_nodes, [&](const auto& entry) { return now - entry.second.at <= reportLifetime; });
 }
 
-bool LoadBoard::hasRecentZoneTotal(std::string_view zone, Milliseconds within, MonotonicTime now) const
+bool LoadAggregator::hasRecentZoneTotal(std::string_view zone, Milliseconds within, MonotonicTime now) const
 {
     auto found = m_zones.find(zone);
     return found != m_zones.end() && now - found->second.at < within;
 }
 
-void LoadBoard::addRecentLoads(
+void LoadAggregator::addRecentLoads(
     const ReportsBySender& reports, std::string_view except, MonotonicTime now, LoadsByHost& total)
 {
     for (const auto& [name, report] : reports) {
@@ -44,14 +44,14 @@
     }
 }
 
-LoadsByHost LoadBoard::zoneTotal(MonotonicTime now) const
+LoadsByHost LoadAggregator::zoneTotal(MonotonicTime now) const
 {
     LoadsByHost total;
     addRecentLoads(m_nodes, {}, now, total);
     return total;
 }
 
-LoadsByHost LoadBoard::totalExcept(std::string_view node, MonotonicTime now) const
+LoadsByHost LoadAggregator::totalExcept(std::string_view node, MonotonicTime now) const
 {
     LoadsByHost total;
     addRecentLoads(m_nodes, node, now, total);
--- a/src/fleet/loadboard.h
+++ b/src/fleet/loadaggregator.h
@@ -15,7 +15,7 @@
 // Adds up the requests in flight that the nodes of a zone report, and stores the totals of the other zones. One node
 // of each zone does this for all its nodes. Reports older than one second are ignored: the sender has stopped or
 // reports to another node. Not thread-safe.
-class LoadBoard {
+class LoadAggregator {
 public:
     void applyNodeReport(std::string_view node, LoadsByHost, MonotonicTime now);
     void applyZoneTotal(std::string_view zone, LoadsByHost, MonotonicTime now);
--- a/src/fleet/logreads.cpp
+++ b/src/fleet/logreadtiming.cpp
@@ -1,4 +1,4 @@
-#include "fleet/logreads.h"
+#include "fleet/logreadtiming.h"
 
 #include <algorithm>
 
@@ -21,12 +21,12 @@
 
 }
 
-LogReads::LogReads(Milliseconds maxWait)
-    : LogReads(maxWait, defaultMaxPause, maxPageTimeout)
+LogReadTiming::LogReadTiming(Milliseconds maxWait)
+    : LogReadTiming(maxWait, defaultMaxPause, maxPageTimeout)
 {
 }
 
-LogReads::LogReads(Milliseconds maxWait, Milliseconds maxPause, Milliseconds maxListingTimeout)
+LogReadTiming::LogReadTiming(Milliseconds maxWait, Milliseconds maxPause, Milliseconds maxListingTimeout)
     : m_longestHold(maxWait)
     , m_longestPause(maxPause)
     , m_longestListing(maxListingTimeout)
@@ -35,25 +35,25 @@
 
 // A lost read delays records by its long-poll time and its time-out, or, after earlier lost reads, by its time-out and
 // the pause. The next read is assumed to be answered.
-LogReads LogReads::forMaxDelay(Milliseconds within)
+LogReadTiming LogReadTiming::forMaxDelay(Milliseconds within)
 {
     auto readerBudget = std::chrono::duration_cast<Milliseconds>(within * readersShare);
     Milliseconds affordableWait = std::max(minWait, readerBudget - answerTimeout - initialPause - slowAnswerTime);
     return { affordableWait, std::min(defaultMaxPause, affordableWait), answerTimeout };
 }
 
-ReadTerms LogReads::next() const
+ReadTimeouts LogReadTiming::nextTimeouts() const
 {
     Milliseconds maxWait = m_failures == 0 ? m_longestHold : Milliseconds(0);
     return { maxWait, maxWait + answerTimeout };
 }
 
-Milliseconds LogReads::listingTimeout() const
+Milliseconds LogReadTiming::listingTimeout() const
 {
     return std::min(m_longestListing, answerTimeout * (1 << std::min(m_failures, maxDoublings)));
 }
 
-Milliseconds LogReads::failed(double draw)
+Milliseconds LogReadTiming::recordFailure(double draw)
 {
     auto pause = std::min(m_longestPause, initialPause * (1 << std::min(m_failures++, maxDoublings)));
     return std::chrono::duration_cast<Milliseconds>(pause * (0.5 + 0.5 * draw));
--- a/src/fleet/logreads.h
+++ b/src/fleet/logreadtiming.h
@@ -5,9 +5,9 @@
 namespace Kumquatpick {
 
 // Time limits of one read of a log.
-struct ReadTerms {
-    Milliseconds hold {}; // How long the store may hold the read until a record arrives.
-    Milliseconds patience {}; // The read fails if the head of the answer does not arrive within this time.
+struct ReadTimeouts {
+    Milliseconds longPollTime {}; // How long the store may hold the read until a record arrives.
+    Milliseconds responseTimeout {}; // The read fails if the head of the answer does not arrive within this time.
 };
 
 // Chooses the time limits for the next read of a log and the pause after a failed read. Not thread-safe; does no I/O.
@@ -16,26 +16,26 @@
 // responding. Until a lost read times out, the node receives no new records of the log, even if other reads succeed,
 // and if the store stopped for all nodes at once, no peer has the records either. Long polling is therefore limited to
 // the time by which a lost read may delay records, and is not used until the store has answered again.
-class LogReads {
+class LogReadTiming {
 public:
-    explicit LogReads(Milliseconds longestHold);
+    explicit LogReadTiming(Milliseconds longestHold);
     // For a log whose records must reach this node, and the nodes that it reads for, within the given time after the
     // store accepted them, even if one read is lost.
-    static LogReads forMaxDelay(Milliseconds);
+    static LogReadTiming forMaxDelay(Milliseconds);
 
-    ReadTerms next() const;
+    ReadTimeouts nextTimeouts() const;
     // Time-out for one page of a listing; the store answers these without long polling. It grows while pages fail,
     // unless a maximum delay is set: many nodes listing at once slow down the store, and a page that timed out costs it
     // as much as one that is read.
     Milliseconds listingTimeout() const;
-    void succeeded() { m_failures = 0; }
+    void recordSuccess() { m_failures = 0; }
     // Returns the pause before the next read. draw: random in 0..1, so that nodes do not retry at the same time.
-    Milliseconds failed(double draw);
+    Milliseconds recordFailure(double draw);
     // Consecutive failures.
     int failures() const { return m_failures; }
 
 private:
-    LogReads(Milliseconds longestHold, Milliseconds longestPause, Milliseconds longestListing);
+    LogReadTiming(Milliseconds longestHold, Milliseconds longestPause, Milliseconds longestListing);
 
     Milliseconds m_longestHold;
     Milliseconds m_longestPause;
--- a/src/fleet/mechanism.h
+++ b/src/fleet/mechanism.h
@@ -11,13 +11,13 @@
 enum class Mechanism : uint8_t {
     Shift, // Hosts of replicas are reassigned to a model with a larger shortage of capacity.
     SecondModels, // Serving hosts load a second model.
-    StuckLoads, // Idle hosts holding a model that their domain has too few hosts for load another model.
-    Homes, // The first plan places the replicas of a model together in domains.
-    StandingCut, // Streams of a stalled replica are closed at once.
+    IdleHostReload, // Idle hosts holding a model that their domain has too few hosts for load another model.
+    DomainGrouping, // The first plan places the replicas of a model together in domains.
+    StalledStreamClose, // Streams of a stalled replica are closed at once.
     Resume, // A broken stream is resumed at another replica.
-    ReturnOrder, // Retries by callers go before first tries.
+    RetriesFirst, // Retries by callers go before first tries.
     EarlyRefusal, // A call is refused at once if no slot is free, instead of being queued for a limited time.
-    ReturnSpread, // Callers that are refused together get different retry times.
+    RetryTimeSpread, // Callers that are refused together get different retry times.
     RelayedProbes, // Peers probe a host that does not answer this node.
     ConditionalJoins, // A host refuses a join if it accepted another order in the meantime.
     StoreReaders, // A few nodes of a zone read the list of hosts for the others.
--- a/src/fleet/modelstaging.cpp
+++ b/src/fleet/modelstaging.cpp
@@ -103,7 +103,7 @@
     bool isCold = status.lastModel.empty() && status.stagedModels.empty();
     // A load replaces the staged copy, which is the only model of a host that has run none yet.
     bool wouldEvictOnlyCopy = status.lastModel.empty() && !isCold;
-    if (wouldEvictOnlyCopy || (!isCold && input.disabledMechanisms.contains(Mechanism::StuckLoads)))
+    if (wouldEvictOnlyCopy || (!isCold && input.disabledMechanisms.contains(Mechanism::IdleHostReload)))
         return;
     uint32_t largest = 1;
     for (const ModelSpec& model : input.service.models)
--- a/src/fleet/ordercounts.cpp
+++ b/src/fleet/ordercounts.cpp
@@ -4,7 +4,7 @@
 
 void OrderCounts::beginOrder(const HostOrder& order, const HostTable& hosts)
 {
-    auto orders = known(hosts, order.hostId);
+    auto orders = currentCount(hosts, order.hostId);
     auto member = isMember(order, hosts);
     Count& count = m_counts[order.hostId];
     count.beforeOrder = orders;
@@ -15,7 +15,7 @@
 std::optional<bool> OrderCounts::isMember(const HostOrder& order, const HostTable& hosts) const
 {
     const Host* host = hosts.find(order.hostId);
-    if (host && host->status.ordersAccepted && isReported(hosts, order.hostId))
+    if (host && host->status.ordersAccepted && hasReportSinceLastOrder(hosts, order.hostId))
         return host->status.membership && host->status.membership->isOf(order.replica, order.epoch);
     auto found = m_counts.find(order.hostId);
     if (found != m_counts.end() && found->second.joinedEpoch)
@@ -49,7 +49,7 @@
 
 // The count is only useful together with the host's status at that count. The list provides a status without a count,
 // and it may be seconds old.
-std::optional<uint64_t> OrderCounts::known(const HostTable& hosts, std::string_view hostId) const
+std::optional<uint64_t> OrderCounts::currentCount(const HostTable& hosts, std::string_view hostId) const
 {
     const Host* host = hosts.find(hostId);
     if (!host)
@@ -62,12 +62,12 @@
         return 0;
     if (!host->status.ordersAccepted)
         return std::nullopt;
-    if (isReported(hosts, hostId))
+    if (hasReportSinceLastOrder(hosts, hostId))
         return hosts.ordersAccepted(hostId);
     return found == m_counts.end() ? std::nullopt : found->second.afterOrder;
 }
 
-bool OrderCounts::isReported(const HostTable& hosts, std::string_view hostId) const
+bool OrderCounts::hasReportSinceLastOrder(const HostTable& hosts, std::string_view hostId) const
 {
     auto reportedAt = hosts.reportedAt(hostId);
     auto found = m_counts.find(hostId);
--- a/src/fleet/ordercounts.h
+++ b/src/fleet/ordercounts.h
@@ -24,9 +24,9 @@
     void removeUnlisted(const HostTable&);
 
     // nullopt if a new report is needed, or if the host's current status is not from its own report.
-    std::optional<uint64_t> known(const HostTable&, std::string_view hostId) const;
+    std::optional<uint64_t> currentCount(const HostTable&, std::string_view hostId) const;
     // Whether the host's latest report is newer than the end of the last order to it.
-    bool isReported(const HostTable&, std::string_view hostId) const;
+    bool hasReportSinceLastOrder(const HostTable&, std::string_view hostId) const;
 
 private:
     struct Count {
--- a/src/fleet/ratelimits.cpp
+++ b/src/fleet/ratelimits.cpp
@@ -148,7 +148,7 @@
     return found == m_limits.end() || !found->second.perSecond || tokensAt(found->second, now) >= 1;
 }
 
-void RateLimits::assignShares(std::span<const DutyNode> nodes, std::string_view self, MonotonicTime now)
+void RateLimits::assignShares(std::span<const CandidateNode> nodes, std::string_view self, MonotonicTime now)
 {
     std::erase_if(m_limits, [&](const auto& entry) {
         return now - entry.second.announcedAt > (entry.second.perSecond ? staleRetention : liftedRetention);
--- a/src/fleet/ratelimits.h
+++ b/src/fleet/ratelimits.h
@@ -13,7 +13,7 @@
 
 namespace Kumquatpick {
 
-struct DutyNode;
+struct CandidateNode;
 
 // A rate limit announced by a backend server, as the nodes pass it on to each other.
 struct HostRateLimit {
@@ -47,7 +47,7 @@
     // Whether the limits allow a request to the server now.
     bool admits(std::string_view hostId, MonotonicTime now) const;
     // Reassigns the shares and drops limits that have not been announced for long. Call about once a second.
-    void assignShares(std::span<const DutyNode> nodes, std::string_view self, MonotonicTime now);
+    void assignShares(std::span<const CandidateNode> nodes, std::string_view self, MonotonicTime now);
 
     // Requests per second that the server accepts from all nodes together; nullopt if it has no limit.
     std::optional<double> limitOf(std::string_view hostId) const;
--- a/src/fleet/rendezvous.cpp
+++ b/src/fleet/rendezvous.cpp
@@ -12,32 +12,32 @@
     // Ratio to the largest CPU share. Nodes above it are treated as equally suitable.
     constexpr double largeShareRatio = 0.5;
 
-    double largestShare(std::span<const DutyNode> nodes)
+    double largestShare(std::span<const CandidateNode> nodes)
     {
         double largest = 0;
-        for (const DutyNode& node : nodes)
+        for (const CandidateNode& node : nodes)
             largest = std::max(largest, node.cpuShare);
         return largest;
     }
 
 }
 
-bool isStrong(const DutyNode& node, std::span<const DutyNode> all)
+bool hasLargeCpuShare(const CandidateNode& node, std::span<const CandidateNode> all)
 {
     return node.cpuShare >= largeShareRatio * largestShare(all);
 }
 
-std::vector<std::string> chooseNodes(std::span<const DutyNode> nodes, std::string_view duty, size_t count)
+std::vector<std::string> chooseNodes(std::span<const CandidateNode> nodes, std::string_view duty, size_t count)
 {
     double largest = largestShare(nodes);
     uint64_t seed = hash64(duty);
-    std::vector<const DutyNode*> chosen;
+    std::vector<const CandidateNode*> chosen;
     chosen.reserve(nodes.size());
-    for (const DutyNode& node : nodes)
+    for (const CandidateNode& node : nodes)
         chosen.push_back(&node);
     count = std::min(count, chosen.size());
-    std::ranges::partial_sort(
-        chosen, chosen.begin() + static_cast<std::ptrdiff_t>(count), std::ranges::greater(), [&](const DutyNode* node) {
+    std::ranges::partial_sort(chosen, chosen.begin() + static_cast<std::ptrdiff_t>(count), std::ranges::greater(),
+        [&](const CandidateNode* node) {
             return std::pair(node->cpuShare >= largeShareRatio * largest, hash64(node->address, seed));
         });
     std::vector<std::string> result;
--- a/src/fleet/rendezvous.h
+++ b/src/fleet/rendezvous.h
@@ -9,7 +9,7 @@
 namespace Kumquatpick {
 
 // A node that can be chosen for a duty.
-struct DutyNode {
+struct CandidateNode {
     std::string address;
     double cpuShare = 0; // Of one core.
 };
@@ -21,9 +21,9 @@
 //
 // Nodes with a large CPU share are preferred, and the others are used only if there are too few of these. On a node
 // with a twelfth of a core, the first plan for 760 hosts took over ten seconds, and the node's lease expired meanwhile.
-std::vector<std::string> chooseNodes(std::span<const DutyNode> nodes, std::string_view duty, size_t count);
+std::vector<std::string> chooseNodes(std::span<const CandidateNode> nodes, std::string_view duty, size_t count);
 
 // Whether the node's CPU share is at least half of the largest one.
-bool isStrong(const DutyNode&, std::span<const DutyNode> all);
+bool hasLargeCpuShare(const CandidateNode&, std::span<const CandidateNode> all);
 
 } // namespace Kumquatpick
--- a/src/fleet/replicaforming.cpp
+++ b/src/fleet/replicaforming.cpp
@@ -101,8 +101,9 @@
     for (const auto& [domain, candidates] : planState.candidates) {
         const ModelSpec* assigned = input.service.model(m_domainAssignment.assignedModel(domain));
         // Only until that model has enough replicas; the remaining hosts of its domains may serve other models.
-        bool isAssignedFirst = input.isBeforeTraffic && !input.disabledMechanisms.contains(Mechanism::Homes) && assigned
-            && planState.freeHosts.at(domain).size() >= assigned->hostsPerReplica && needed.at(assigned->name) > 1;
+        bool isAssignedFirst = input.isBeforeTraffic && !input.disabledMechanisms.contains(Mechanism::DomainGrouping)
+            && assigned && planState.freeHosts.at(domain).size() >= assigned->hostsPerReplica
+            && needed.at(assigned->name) > 1;
         for (const Candidate& candidate : candidates) {
             const ModelSpec& model = *candidate.model;
             double value = needed.at(model.name) / (1 + candidate.cost);
@@ -276,7 +277,7 @@
     std::string domain = candidate.members.front()->status.domain;
     for (const Host* host : candidate.members) {
         formation.members.push_back(host->id);
-        formation.joins[host->id].expectedOrderCount = *m_orderCounts.known(input.hosts, host->id);
+        formation.joins[host->id].expectedOrderCount = *m_orderCounts.currentCount(input.hosts, host->id);
         if (!host->status.hasLocalCopy(formation.model))
             formation.coldMembers.push_back(host->id);
     }
--- a/src/fleet/replicaplanner.cpp
+++ b/src/fleet/replicaplanner.cpp
@@ -146,7 +146,7 @@
             continue;
         MemberJoin& join = formation.joins.at(id);
         if (!join.expectedOrderCount)
-            join.expectedOrderCount = m_orderCounts.known(input.hosts, id);
+            join.expectedOrderCount = m_orderCounts.currentCount(input.hosts, id);
         if (!join.expectedOrderCount || !recordSendIfDue(join.sentAt, input.now))
             continue;
         orders.push_back({ OrderKind::Join, id, formation.replica, formation.epoch, formation.model, formation.members,
@@ -315,7 +315,8 @@
 {
     const Host* head = input.hosts.find(tracked.headId);
     HostContact contact = tracked.headId.empty() ? HostContact::UnreachableByAll : input.contact(tracked.headId);
-    bool isOwnReport = head && head->status.ordersAccepted && m_orderCounts.isReported(input.hosts, head->id);
+    bool isOwnReport
+        = head && head->status.ordersAccepted && m_orderCounts.hasReportSinceLastOrder(input.hosts, head->id);
     bool hasLeft = isOwnReport && !head->isMemberOf(replica.name, replica.epoch);
     if (tracked.headHasLeft || hasLeft || contact == HostContact::Ended)
         return HeadStatus::Left;
@@ -343,7 +344,7 @@
 {
     bool allReported = true;
     for (const Host* host : hosts) {
-        if (m_orderCounts.known(input.hosts, host->id))
+        if (m_orderCounts.currentCount(input.hosts, host->id))
             continue;
         allReported = false;
         m_hostsToPoll.insert(host->id);
--- a/src/fleet/patienceprofile.cpp
+++ b/src/fleet/retrydetector.cpp
@@ -1,4 +1,4 @@
-#include "fleet/patienceprofile.h"
+#include "fleet/retrydetector.h"
 
 namespace Kumquatpick {
 
@@ -23,7 +23,7 @@
 
 }
 
-bool PatienceProfile::cameBack(Milliseconds timeout, Milliseconds minDelay)
+bool RetryDetector::classifyAsRetry(Milliseconds timeout, Milliseconds minDelay)
 {
     auto value = static_cast<double>(timeout.count());
     updateQuantile(m_median, medianShare, value);
--- a/src/fleet/patienceprofile.h
+++ b/src/fleet/retrydetector.h
@@ -11,10 +11,10 @@
 // retry.
 //
 // A comparison with the longest timeout alone classified two calls in three as retries where timeouts vary by 15%.
-class PatienceProfile {
+class RetryDetector {
 public:
     // Records the timeout of a call. Returns whether it is too short for a first attempt by at least leastDelay.
-    bool cameBack(Milliseconds patience, Milliseconds leastDelay);
+    bool classifyAsRetry(Milliseconds patience, Milliseconds leastDelay);
 
 private:
     // Running quantile estimates. Each step up or down is weighted so that the estimate settles at its quantile.
--- a/src/gateway/asio.h
+++ b/src/gateway/asio.h
@@ -10,7 +10,7 @@
 constexpr auto asTuple = boost::asio::as_tuple(boost::asio::use_awaitable);
 
 // Suspends the calling coroutine for a duration, or until its event loop ends.
-template <typename Duration> boost::asio::awaitable<void> pause(Duration duration)
+template <typename Duration> boost::asio::awaitable<void> sleepFor(Duration duration)
 {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, duration);
     co_await timer.async_wait(asTuple);
--- a/src/gateway/callersession.cpp
+++ b/src/gateway/callersession.cpp
@@ -170,7 +170,7 @@
             call->cancel(CancelReason::CallerDisconnected);
             co_return;
         }
-        co_await pause(disconnectPollPeriod);
+        co_await sleepFor(disconnectPollPeriod);
     }
 }
 
--- a/src/gateway/callforwarder.cpp
+++ b/src/gateway/callforwarder.cpp
@@ -105,7 +105,7 @@
 {
     m_context.anyCallSeen = true;
     m_isCallerRetry
-        = m_servesModels && isCallerRetry() && !m_context.disabledMechanisms.contains(Mechanism::ReturnOrder);
+        = m_servesModels && isCallerRetry() && !m_context.disabledMechanisms.contains(Mechanism::RetriesFirst);
     m_deadline = std::min(m_deadline, m_arrived + m_route->timeout);
     m_active->timer.expires_at(m_deadline);
     m_active->timer.async_wait([active = m_active](const auto& error) {
@@ -119,7 +119,7 @@
 {
     if (!m_call.timeout)
         return false;
-    return m_context.callerTimeouts[m_route->name].cameBack(*m_call.timeout, m_route->targetLatency);
+    return m_context.callerTimeouts[m_route->name].classifyAsRetry(*m_call.timeout, m_route->targetLatency);
 }
 
 int CallForwarder::priority() const
@@ -165,7 +165,7 @@
                 ++m_context.demand[m_call.model].refusedSinceTick;
             co_return false;
         }
-        co_await pause(slotPollPeriod);
+        co_await sleepFor(slotPollPeriod);
     }
     co_return false;
 }
@@ -226,7 +226,7 @@
 // remaining time, so the delay is limited to that, unless all servers are backed off for longer.
 Milliseconds CallForwarder::retryAfterDelay()
 {
-    double draw = m_context.disabledMechanisms.contains(Mechanism::ReturnSpread) ? 0.5 : m_context.drawUniform();
+    double draw = m_context.disabledMechanisms.contains(Mechanism::RetryTimeSpread) ? 0.5 : m_context.drawUniform();
     auto spread = std::chrono::duration_cast<Milliseconds>(retryAfterJitter * draw);
     MonotonicTime now = m_context.now();
     if (auto end = m_context.balancer.allBackedOffUntil(m_service, m_call.model, now))
--- a/src/gateway/context.h
+++ b/src/gateway/context.h
@@ -6,8 +6,8 @@
 #include "fleet/hosttable.h"
 #include "fleet/looppauses.h"
 #include "fleet/mechanism.h"
-#include "fleet/patienceprofile.h"
 #include "fleet/retryallowance.h"
+#include "fleet/retrydetector.h"
 #include "fleet/routetable.h"
 #include "gateway/activecall.h"
 #include "gateway/connectionpool.h"
@@ -64,7 +64,7 @@
     uint64_t incarnation; // Identifies this run of the process.
     std::set<std::shared_ptr<ActiveCall>> calls;
     std::map<std::string, ModelDemand, std::less<>> demand; // By model.
-    std::map<std::string, PatienceProfile, std::less<>> callerTimeouts; // Timeouts of callers, by route name.
+    std::map<std::string, RetryDetector, std::less<>> callerTimeouts; // Timeouts of callers, by route name.
     bool anyCallSeen = false;
     bool isStopping = false;
     bool hasHostList = false; // The list of backend servers was read at least once.
--- a/src/gateway/controllerloop.cpp
+++ b/src/gateway/controllerloop.cpp
@@ -52,7 +52,7 @@
 asio::awaitable<void> ControllerLoop::run()
 {
     for (;;) {
-        co_await pause(tickPeriod);
+        co_await sleepFor(tickPeriod);
         // Every node tracks the demand, so that a new controller has it for its first plan.
         if (m_context.routes)
             updateDemand();
@@ -74,8 +74,8 @@
             m_addresses.insert_or_assign(id, host.address);
         m_addressesVersion = m_context.hosts.version();
     }
-    HostIds awaited;
-    HostIds awaitedLater;
+    HostIdSet awaited;
+    HostIdSet awaitedLater;
     for (const ServiceSpec& service : m_context.routes->config().services) {
         if (!service.servesModels())
             continue;
@@ -96,7 +96,7 @@
     auto wanted = wantedReplicas(service);
     bool anyCallSeen = m_context.anyCallSeen;
     m_peers.forEachAlive([&](const PeerDigest& digest) { anyCallSeen = anyCallSeen || digest.anyCallSeen; });
-    HostIds still = stalledHeads();
+    HostIdSet still = stalledHeads();
     PlannerInput input { m_context.now(), m_context.hosts, service, wanted,
         [this](std::string_view id) { return contact(id); },
         [this, &still](
@@ -163,9 +163,9 @@
 }
 
 // Heads of replicas that other nodes report as stalled.
-ControllerLoop::HostIds ControllerLoop::stalledHeads() const
+ControllerLoop::HostIdSet ControllerLoop::stalledHeads() const
 {
-    HostIds result;
+    HostIdSet result;
     m_peers.forEachAlive(
         [&](const PeerDigest& digest) { result.insert(digest.stalledHeads.begin(), digest.stalledHeads.end()); });
     return result;
@@ -185,14 +185,14 @@
     if (contact.failures >= failuresUntilSilent && contact.isRefused)
         return HostContact::Refused;
     if (contact.failures >= failuresUntilSilent)
-        return isSilentToAll(contact) ? HostContact::UnreachableByAll : HostContact::Unreachable;
+        return isUnreachableByAll(contact) ? HostContact::UnreachableByAll : HostContact::Unreachable;
     bool isFresh = m_context.now() - contact.answeredAt < contactValidity;
     return isFresh && contact.failures == 0 ? HostContact::Reachable : HostContact::Unknown;
 }
 
 // Polls the hosts on which pending decisions about replicas depend first, because the number of concurrent requests is
 // limited.
-void ControllerLoop::pollHosts(const HostIds& awaited, const HostIds& awaitedLater)
+void ControllerLoop::pollHosts(const HostIdSet& awaited, const HostIdSet& awaitedLater)
 {
     LoopTime::Section section(m_context.loopTime, LoopPart::Status);
     MonotonicTime now = m_context.now();
@@ -334,7 +334,7 @@
         asked->done.cancel();
 }
 
-bool ControllerLoop::isSilentToAll(const Contact& contact) const
+bool ControllerLoop::isUnreachableByAll(const Contact& contact) const
 {
     std::vector<std::string> peers = m_peers.aliveAddresses();
     auto failed = static_cast<size_t>(
--- a/src/gateway/controllerloop.h
+++ b/src/gateway/controllerloop.h
@@ -55,18 +55,18 @@
     void updateDemand(const std::string& service, const std::string& model);
     std::map<std::string, double, std::less<>> wantedReplicas(const ServiceSpec&) const;
     HostContact contact(std::string_view hostId) const;
-    using HostIds = std::set<std::string, std::less<>>;
-    void pollHosts(const HostIds& awaited, const HostIds& awaitedLater);
+    using HostIdSet = std::set<std::string, std::less<>>;
+    void pollHosts(const HostIdSet& awaited, const HostIdSet& awaitedLater);
     void pollLeastRecent(std::vector<std::string> hostIds, Milliseconds period);
     asio::awaitable<void> pollStatus(std::string hostId, Address);
     void applyStatusResponse(const std::string& hostId, const Settled<HttpResponse>&, MonotonicTime asOf);
-    HostIds stalledHeads() const;
+    HostIdSet stalledHeads() const;
     asio::awaitable<Settled<HttpResponse>> pollThroughPeers(std::string hostId, Address);
     asio::awaitable<void> pollThroughPeer(std::string peer, std::string hostId, Address, std::shared_ptr<RelayedPoll>);
     asio::awaitable<Settled<HttpResponse>> callHost(std::string hostId, Address, HttpRequest, Milliseconds, Step);
     Milliseconds reportLag(std::string_view hostId) const;
     void recordFailure(const std::string& hostId, const Error&);
-    bool isSilentToAll(const Contact&) const;
+    bool isUnreachableByAll(const Contact&) const;
     asio::awaitable<void> send(HostOrder, Address, std::string service, uint64_t fencing);
 
     GatewayContext& m_context;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -48,16 +48,16 @@
     , m_lease(m_context, m_health, m_peers)
     , m_controller(m_context, m_lease, m_peers)
     , m_configFollower(m_context, m_health, LogName::OperatorsConfig,
-          { LogReads::forMaxDelay(settings.configWithin), Milliseconds(0) }, configHandlers())
-    , m_hostFollower(
-          m_context, m_health, LogName::BackendServers, { LogReads(maxHostLongPoll), hostReadPause }, hostHandlers())
+          { LogReadTiming::forMaxDelay(settings.configWithin), Milliseconds(0) }, configHandlers())
+    , m_hostFollower(m_context, m_health, LogName::BackendServers, { LogReadTiming(maxHostLongPoll), hostReadPause },
+          hostHandlers())
     , m_callers(io, [this](asio::ip::tcp::socket socket) { acceptCaller(std::move(socket)); })
     , m_readiness(io, [this](const HttpRequest& request) { return answerReadiness(request); })
     , m_entries(io, [this](const HttpRequest& request) { return answerEntries(request); })
     , m_peerServer(io, [this](const HttpRequest& request) { return answerPeer(request); })
 {
-    m_hostFollower.readFromPeers(
-        [this](uint64_t from, bool isTurnedAway) { return m_peers.readHosts(from, isTurnedAway); });
+    m_hostFollower.setReadFromPeer(
+        [this](uint64_t from, bool isStoreUnavailable) { return m_peers.readHosts(from, isStoreUnavailable); });
     m_peers.setHostRecordSource([this](uint64_t from) {
         auto batch = m_hostFollower.feed().readFrom(from, m_context.now());
         if (batch) {
@@ -69,8 +69,8 @@
     });
     // Peers that read the store also report new configurations: 95 nodes that each waited at the store for
     // configurations made a quarter of all store calls.
-    m_configFollower.followWhile([this] { return !m_context.routes || !m_hostFollower.isFedByPeer(); });
-    m_peers.fetchConfigsWhile([this] { return m_hostFollower.isFedByPeer(); });
+    m_configFollower.followWhile([this] { return !m_context.routes || !m_hostFollower.hasRecentPeerRead(); });
+    m_peers.fetchConfigsWhile([this] { return m_hostFollower.hasRecentPeerRead(); });
 }
 
 Settled<std::monostate> Gateway::start()
@@ -202,7 +202,7 @@
         refreshTargets();
         // The duration of the tick itself is not a pause.
         m_context.pauses.timerFired(m_context.now(), m_context.now() + maintenancePeriod);
-        co_await pause(maintenancePeriod);
+        co_await sleepFor(maintenancePeriod);
     }
 }
 
@@ -281,7 +281,7 @@
     co_await m_lease.release();
     MonotonicTime callersGone = begun + m_context.settings.entriesLifetime * staleAnswerLifetimes + stopMargin;
     while (m_context.now() < std::min(callersGone, atLatest))
-        co_await pause(maintenancePeriod);
+        co_await sleepFor(maintenancePeriod);
     m_callers.stop();
     while (m_context.now() < atLatest) {
         for (const auto& weak : m_sessions) {
@@ -290,12 +290,12 @@
         }
         if (m_context.calls.empty())
             break;
-        co_await pause(maintenancePeriod);
+        co_await sleepFor(maintenancePeriod);
     }
     std::vector<std::shared_ptr<ActiveCall>> left(m_context.calls.begin(), m_context.calls.end());
     for (const auto& call : left)
         call->cancel(CancelReason::NodeShutdown);
-    co_await pause(maintenancePeriod);
+    co_await sleepFor(maintenancePeriod);
     m_context.log.write("stopped", { { "cancelled_calls", left.size() } });
     m_context.log.flush();
     m_context.io.stop();
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -53,7 +53,7 @@
 void Gateway::divideRateLimits()
 {
     std::string self = m_context.isStopping ? std::string() : m_context.settings.peers.toString();
-    m_context.balancer.limits().assignShares(m_peers.nodesOf({}), self, m_context.now());
+    m_context.balancer.limits().assignShares(m_peers.nodesInZone({}), self, m_context.now());
 }
 
 void Gateway::refreshPeersInFlight(int tick)
--- a/src/gateway/gatewaytargets.cpp
+++ b/src/gateway/gatewaytargets.cpp
@@ -50,7 +50,7 @@
 void Gateway::cancelStalledStreams()
 {
     MonotonicTime now = m_context.now();
-    if (m_context.disabledMechanisms.contains(Mechanism::StandingCut))
+    if (m_context.disabledMechanisms.contains(Mechanism::StalledStreamClose))
         return;
     for (const std::string& id : m_context.balancer.stalledTargets(now)) {
         m_stalledAt[id] = now;
--- a/src/gateway/lease.cpp
+++ b/src/gateway/lease.cpp
@@ -51,7 +51,7 @@
     : m_context(context)
     , m_health(health)
     , m_peers(peers)
-    , m_follower(context, health, LogName::Controller, { LogReads(maxLongPoll), pauseBetweenReads, false },
+    , m_follower(context, health, LogName::Controller, { LogReadTiming(maxLongPoll), pauseBetweenReads, false },
           { [] {}, [this](const LogRecord& record) { return applyRecord(record); }, [] {} })
     , m_self(incarnationName(context.settings.name, context.incarnation))
     , m_holderSeenAt(bootNow())
@@ -102,7 +102,7 @@
 // Planning that takes ten seconds on a small node takes one on a strong node.
 bool ControllerLease::isHandoverDue()
 {
-    if (m_holder != m_self || m_peers.isStrongNode())
+    if (m_holder != m_self || m_peers.selfHasLargeCpuShare())
         m_weakHolderSince.reset();
     else if (!m_weakHolderSince)
         m_weakHolderSince = bootNow();
@@ -113,7 +113,7 @@
 {
     BootTime begun = bootNow();
     for (;;) {
-        co_await pause(step);
+        co_await sleepFor(step);
         if (m_context.isStopping || m_isReleased)
             continue;
         if (isHandoverDue() && m_health.isServing()) {
@@ -132,7 +132,7 @@
             continue;
         if (isOwn ? waited >= renewPeriod : (isFree || waited >= takeoverDelay())) {
             if (!isOwn)
-                co_await pause(std::chrono::duration_cast<Milliseconds>(
+                co_await sleepFor(std::chrono::duration_cast<Milliseconds>(
                     std::chrono::duration<double, std::milli>(claimJitterMs * m_context.drawUniform())));
             bool isStillDue = isOwn || m_holder.empty() || bootNow() - m_holderSeenAt >= takeoverDelay();
             if (isStillDue && m_context.hasHostList)
@@ -156,7 +156,7 @@
     if (auto* error = std::get_if<Error>(&offset)) {
         m_context.log.write("lease_claim_failed", { { "problem", describe(*error) } });
         m_isStoreUnavailable = error->code != ErrorCode::Stale;
-        co_await pause(claimRetryDelay);
+        co_await sleepFor(claimRetryDelay);
         co_return;
     }
     // The follower reads the record shortly after; the lease takes effect only then.
--- a/src/gateway/listener.cpp
+++ b/src/gateway/listener.cpp
@@ -57,7 +57,7 @@
         if (!error)
             m_accept(std::move(socket));
         else if (m_acceptor.is_open())
-            co_await pause(acceptPause);
+            co_await sleepFor(acceptPause);
     }
 }
 
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -66,12 +66,12 @@
 asio::awaitable<void> LoadExchange::run()
 {
     for (;;) {
-        co_await pause(period);
+        co_await sleepFor(period);
         if (m_peers.reachesAllEachRound() || m_context.disabledMechanisms.contains(Mechanism::LoadExchange))
             continue;
         MonotonicTime now = m_context.now();
         std::erase_if(m_failedAt, [&](const auto& entry) { return now - entry.second > failedPeerDelay; });
-        auto adding = m_peers.chosenOf(m_context.settings.zone, duty, candidates);
+        auto adding = m_peers.chosenNodes(m_context.settings.zone, duty, candidates);
         std::erase_if(adding, [this](const std::string& peer) { return m_failedAt.contains(peer); });
         bool addsUp = adding.empty() || adding.front() == self();
         if (addsUp)
@@ -123,7 +123,7 @@
     for (const std::string& zone : m_peers.otherZones()) {
         if (m_pendingZones.contains(zone) || m_board.hasRecentZoneTotal(zone, period * 3 / 4, m_context.now()))
             continue;
-        auto adding = m_peers.chosenOf(zone, duty, candidates);
+        auto adding = m_peers.chosenNodes(zone, duty, candidates);
         std::erase_if(adding, [this](const std::string& peer) { return m_failedAt.contains(peer); });
         if (adding.empty())
             continue;
--- a/src/gateway/loadexchange.h
+++ b/src/gateway/loadexchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "fleet/loadboard.h"
+#include "fleet/loadaggregator.h"
 #include "gateway/context.h"
 #include "gateway/peers.h"
 
@@ -35,7 +35,7 @@
 
     GatewayContext& m_context;
     Peers& m_peers;
-    LoadBoard m_board;
+    LoadAggregator m_board;
     LoadsByHost m_others;
     std::optional<MonotonicTime> m_othersUpdatedAt;
     std::map<std::string, MonotonicTime, std::less<>> m_failedAt; // By peer.
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -47,10 +47,10 @@
     , m_listReaders(context.settings.peers.toString())
 {
     for (const Address& seed : context.settings.seedAddresses())
-        addKnown(seed);
+        addPeer(seed);
 }
 
-void Peers::addKnown(const Address& address)
+void Peers::addPeer(const Address& address)
 {
     if (address != m_context.settings.peers)
         m_peers.try_emplace(address.toString());
@@ -58,10 +58,10 @@
 
 bool Peers::isAlive(const Peer& peer, MonotonicTime now) const
 {
-    return !peer.digest.name.empty() && now - peer.lastDigestAt < aliveFor();
+    return !peer.digest.name.empty() && now - peer.lastDigestAt < aliveTimeout();
 }
 
-Milliseconds Peers::aliveFor() const
+Milliseconds Peers::aliveTimeout() const
 {
     size_t roundsForAll = (m_peers.size() + peersPerRound - 1) / peersPerRound;
     return maxSilence + roundPeriod * static_cast<int>(std::max<size_t>(1, roundsForAll));
@@ -73,7 +73,7 @@
         sendDigests();
         fetchNewerConfig();
         std::erase_if(m_peers, [](const auto& entry) { return entry.second.failures > failuresUntilRemoved; });
-        co_await pause(roundPeriod);
+        co_await sleepFor(roundPeriod);
     }
 }
 
@@ -221,10 +221,10 @@
     return response;
 }
 
-std::vector<DutyNode> Peers::nodesOf(std::string_view zone) const
+std::vector<CandidateNode> Peers::nodesInZone(std::string_view zone) const
 {
     MonotonicTime now = m_context.now();
-    std::vector<DutyNode> nodes { self() };
+    std::vector<CandidateNode> nodes { self() };
     for (const auto& [address, peer] : m_peers) {
         bool isOfZone = zone.empty() || peer.digest.zone == zone;
         if (isAlive(peer, now) && isOfZone && !peer.digest.isStopping)
@@ -233,21 +233,24 @@
     return nodes;
 }
 
-DutyNode Peers::self() const { return { m_context.settings.peers.toString(), m_context.settings.cpuShareOrDefault() }; }
+CandidateNode Peers::self() const
+{
+    return { m_context.settings.peers.toString(), m_context.settings.cpuShareOrDefault() };
+}
 
-bool Peers::isStrongNode() const { return isStrong(self(), nodesOf({})); }
+bool Peers::selfHasLargeCpuShare() const { return hasLargeCpuShare(self(), nodesInZone({})); }
 
 bool Peers::isChosen(std::string_view duty, size_t count) const
 {
-    auto chosen = chooseNodes(nodesOf({}), duty, count);
+    auto chosen = chooseNodes(nodesInZone({}), duty, count);
     return std::ranges::find(chosen, m_context.settings.peers.toString()) != chosen.end();
 }
 
-std::vector<std::string> Peers::chosenOf(std::string_view zone, std::string_view duty, size_t count) const
+std::vector<std::string> Peers::chosenNodes(std::string_view zone, std::string_view duty, size_t count) const
 {
-    auto nodes = nodesOf(zone);
+    auto nodes = nodesInZone(zone);
     if (zone != m_context.settings.zone)
-        std::erase_if(nodes, [this](const DutyNode& node) { return node.address == self().address; });
+        std::erase_if(nodes, [this](const CandidateNode& node) { return node.address == self().address; });
     return chooseNodes(nodes, duty, count);
 }
 
@@ -265,32 +268,32 @@
 
 // The readers of this node's zone, unless it is a reader itself. If the store is unavailable to it, all readers of all
 // zones.
-std::vector<std::string> Peers::hostReadersToAsk(bool isTurnedAway) const
+std::vector<std::string> Peers::hostReadersToQuery(bool isStoreUnavailable) const
 {
     if (m_context.disabledMechanisms.contains(Mechanism::StoreReaders))
         return {};
     MonotonicTime now = m_context.now();
-    auto ownZone = nodesOf(m_context.settings.zone);
-    if (!isTurnedAway)
+    auto ownZone = nodesInZone(m_context.settings.zone);
+    if (!isStoreUnavailable)
         return m_listReaders.readersToQuery(ownZone, now);
     auto readers = m_listReaders.readersOf(ownZone, now);
     for (const std::string& zone : otherZones()) {
-        auto nodes = nodesOf(zone);
-        std::erase_if(nodes, [this](const DutyNode& node) { return node.address == self().address; });
+        auto nodes = nodesInZone(zone);
+        std::erase_if(nodes, [this](const CandidateNode& node) { return node.address == self().address; });
         std::ranges::move(m_listReaders.readersOf(nodes, now), std::back_inserter(readers));
     }
     std::erase(readers, self().address);
     return readers;
 }
 
-asio::awaitable<LogFollower::PeerRead> Peers::readHosts(uint64_t from, bool isTurnedAway)
+asio::awaitable<LogFollower::PeerReadResult> Peers::readHosts(uint64_t from, bool isStoreUnavailable)
 {
-    auto readers = hostReadersToAsk(isTurnedAway);
+    auto readers = hostReadersToQuery(isStoreUnavailable);
     if (readers.empty()) {
         m_listReaders.recordSuccess();
-        co_return LogFollower::PeerRead {};
+        co_return LogFollower::PeerReadResult {};
     }
-    bool isReader = m_listReaders.readersToQuery(nodesOf(m_context.settings.zone), m_context.now()).empty();
+    bool isReader = m_listReaders.readersToQuery(nodesInZone(m_context.settings.zone), m_context.now()).empty();
     bool didAnyAnswer = false;
     for (const std::string& reader : readers) {
         auto answer = co_await readHostsAt(reader, from);
@@ -300,20 +303,20 @@
         }
         auto* batch = std::get_if<RecordBatch>(&answer);
         // An outdated list is better than none.
-        bool isUsable = batch && (batch->age <= maxReaderAge || (isTurnedAway && from == 0));
+        bool isUsable = batch && (batch->age <= maxReaderAge || (isStoreUnavailable && from == 0));
         if (isUsable) {
             m_listReaders.recordSuccess();
             m_configConfirmedAt = std::max(m_configConfirmedAt, m_context.now() - batch->configAge);
             m_catchUp.recordPeerVersion(reader, true, batch->configVersion, m_context.now());
             fetchNewerConfig();
-            co_return LogFollower::PeerRead { std::move(*batch), isReader };
+            co_return LogFollower::PeerReadResult { std::move(*batch), isReader };
         }
-        m_listReaders.failed(reader, m_context.now());
+        m_listReaders.recordFailure(reader, m_context.now());
         m_context.log.write(
             "reader_failed", { { "peer", reader }, { "from", from }, { "age_ms", batch ? batch->age.count() : -1 } });
     }
     bool mayReadStore = isReader || m_listReaders.mayReadStore(didAnyAnswer, m_context.now());
-    co_return LogFollower::PeerRead { std::nullopt, mayReadStore };
+    co_return LogFollower::PeerReadResult { std::nullopt, mayReadStore };
 }
 
 asio::awaitable<Peers::ReaderAnswer> Peers::readHostsAt(std::string address, uint64_t from)
@@ -375,7 +378,7 @@
     digest.isStopping = m_context.isStopping;
     digest.anyCallSeen = m_context.anyCallSeen;
     digest.configVersion = configVersion();
-    if (includesPeersFor(reader)) {
+    if (shouldIncludePeers(reader)) {
         for (const auto& [address, peer] : m_peers) {
             if (isAlive(peer))
                 digest.knownPeers.push_back(address);
@@ -393,7 +396,7 @@
 // The addresses of all nodes are most of a digest in a large fleet and seldom change, so a new peer gets them at once
 // and other peers only in some digests. Together with omitting statuses from requests, this halved the traffic between
 // zones of sixty nodes.
-bool Peers::includesPeersFor(std::string_view reader)
+bool Peers::shouldIncludePeers(std::string_view reader)
 {
     auto peer = m_peers.find(reader);
     if (peer == m_peers.end() || !isAlive(peer->second))
@@ -409,7 +412,7 @@
     for (const std::string& known : digest.knownPeers) {
         auto address = settle([&] { return Address::parse(known); });
         if (auto* valid = std::get_if<Address>(&address))
-            addKnown(*valid);
+            addPeer(*valid);
     }
     Peer& peer = m_peers[digest.peers];
     // A process never leaves the stopping state, so an earlier digest that arrives late must not clear it.
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -34,7 +34,7 @@
     asio::awaitable<Settled<HttpResponse>> relay(std::string peer, Address host, HttpRequest);
     std::vector<std::string> aliveAddresses() const;
     // Reads records of the list of backend servers from another node, if one reads the store for this one.
-    asio::awaitable<LogFollower::PeerRead> readHosts(uint64_t from, bool isTurnedAway);
+    asio::awaitable<LogFollower::PeerReadResult> readHosts(uint64_t from, bool isStoreUnavailable);
     // Provides the records that other nodes request with readHosts().
     using HostRecordSource = std::function<std::optional<RecordBatch>(uint64_t from)>;
     void setHostRecordSource(HostRecordSource feed) { m_hostRecordSource = std::move(feed); }
@@ -47,24 +47,24 @@
     bool knowsNewerConfig() const;
     // Live nodes that are not stopping, including this one, by their addresses for digests. An empty zone means all
     // zones.
-    std::vector<DutyNode> nodesOf(std::string_view zone) const;
+    std::vector<CandidateNode> nodesInZone(std::string_view zone) const;
     // Whether this node is one of the given number of nodes that perform a duty for the fleet.
     bool isChosen(std::string_view duty, size_t count) const;
     // The nodes that perform a duty for a zone, according to this node's view.
-    std::vector<std::string> chosenOf(std::string_view zone, std::string_view duty, size_t count) const;
+    std::vector<std::string> chosenNodes(std::string_view zone, std::string_view duty, size_t count) const;
     // Zones of other live nodes.
     std::vector<std::string> otherZones() const;
     // Whether each round sends digests to all peers, so that the data in them is recent.
     bool reachesAllEachRound() const;
     // Whether the CPU share of this node is close to the largest of all live nodes.
-    bool isStrongNode() const;
+    bool selfHasLargeCpuShare() const;
 
     // Addresses for callers of other live nodes that take requests.
     std::vector<std::string> callerAddresses(std::string_view zone) const;
     size_t aliveCount() const;
     // Whether the given incarnation of a node, in the format of incarnationName(), recently sent a digest.
     bool isIncarnationAlive(std::string_view life) const;
-    void addKnown(const Address&);
+    void addPeer(const Address&);
     // Visits the digests of live peers.
     template <typename Visit> void forEachAlive(Visit&& visit) const
     {
@@ -87,15 +87,15 @@
 
     bool isAlive(const Peer& peer) const { return isAlive(peer, m_context.now()); }
     bool isAlive(const Peer&, MonotonicTime now) const;
-    Milliseconds aliveFor() const;
-    DutyNode self() const;
-    std::vector<std::string> hostReadersToAsk(bool isTurnedAway) const;
+    Milliseconds aliveTimeout() const;
+    CandidateNode self() const;
+    std::vector<std::string> hostReadersToQuery(bool isStoreUnavailable) const;
     uint64_t configVersion() const;
     // Creates the digest for the peer with the given address.
     PeerDigest ownDigest(std::string_view reader, bool isAnswer);
     void fetchNewerConfig();
     asio::awaitable<void> fetchConfig(std::string address);
-    bool includesPeersFor(std::string_view reader);
+    bool shouldIncludePeers(std::string_view reader);
     void applyDigest(PeerDigest);
     asio::awaitable<void> exchangeDigests(std::string address);
     HttpResponse answerDigest(const HttpRequest&);
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -34,7 +34,7 @@
 
 }
 
-void StoreHealth::answered()
+void StoreHealth::recordResponse()
 {
     m_failures = 0;
     if (m_isServing)
@@ -44,7 +44,7 @@
     m_context.log.write("store_available", nlohmann::json::object());
 }
 
-void StoreHealth::failed(const Error& error)
+void StoreHealth::recordFailure(const Error& error)
 {
     if (++m_failures < failuresUntilOutage || !m_isServing)
         return;
@@ -69,17 +69,17 @@
             // Only the newest records are of use after the interruption.
             m_isListed = false;
             m_listing.reset();
-            co_await pause(inactivePollPeriod);
+            co_await sleepFor(inactivePollPeriod);
             continue;
         }
         Outcome outcome = co_await readOnce();
         Milliseconds rest = m_listing ? Milliseconds(0) : m_readOptions.readPause;
         if (outcome == Outcome::Failed)
-            rest = m_reads.failed(m_context.drawUniform());
+            rest = m_reads.recordFailure(m_context.drawUniform());
         else if (outcome == Outcome::RetryPeers)
             rest = peerRetryDelay;
         if (rest.count() > 0)
-            co_await pause(rest);
+            co_await sleepFor(rest);
     }
 }
 
@@ -90,7 +90,7 @@
     bool isStoreDue = m_mayReadStore && m_reads.failures() > 0 && m_context.now() - m_storeTriedAt > storeRetryDelay;
     bool triesPeers = m_isListed || m_reads.failures() >= failuresUntilPeerListing;
     if (m_readFromPeer && triesPeers && !isStoreDue) {
-        PeerRead read = co_await m_readFromPeer(m_nextOffset, m_reads.failures() > 0);
+        PeerReadResult read = co_await m_readFromPeer(m_nextOffset, m_reads.failures() > 0);
         m_mayReadStore = read.mayReadStore;
         if (read.batch && applyBatch(std::move(*read.batch)))
             co_return Outcome::Done;
@@ -138,7 +138,7 @@
         readFailed(*error, askedAt);
         co_return std::nullopt;
     }
-    m_health.answered();
+    m_health.recordResponse();
     auto& found = std::get<LogPage>(page);
     if (!m_listing)
         m_listing = Listing { m_context.now(), found.nextOffset, {}, {} };
@@ -159,7 +159,7 @@
     m_nextOffset = nextOffset;
     m_feed.replaceAll(records, m_nextOffset, readAt);
     m_isListed = true;
-    m_reads.succeeded();
+    m_reads.recordSuccess();
     m_syncedAt = std::max(m_syncedAt.value_or(readAt), readAt);
 }
 
@@ -167,9 +167,10 @@
 {
     m_context.metrics.count("store_calls_total{kind=\"read\"}");
     m_storeTriedAt = m_context.now();
-    ReadTerms terms = m_reads.next();
+    ReadTimeouts terms = m_reads.nextTimeouts();
     auto answer = co_await m_context.pool.exchange(m_context.settings.store,
-        m_context.platform.readLog(m_log, m_nextOffset, terms.hold), terms.patience, Step::LogRead, bodyTimeout);
+        m_context.platform.readLog(m_log, m_nextOffset, terms.longPollTime), terms.responseTimeout, Step::LogRead,
+        bodyTimeout);
     auto* response = std::get_if<HttpResponse>(&answer);
     auto page = response ? m_context.platform.logPage(m_log, m_nextOffset, *response)
                          : Settled<LogPage>(std::get<Error>(answer));
@@ -177,8 +178,8 @@
         readFailed(*error, m_storeTriedAt);
         co_return false;
     }
-    m_health.answered();
-    m_reads.succeeded();
+    m_health.recordResponse();
+    m_reads.recordSuccess();
     m_peerReadAt.reset();
     auto& found = std::get<LogPage>(page);
     if (found.isGap) {
@@ -201,7 +202,7 @@
     m_context.log.write("store_read_failed",
         { { "log", toString(m_log) }, { "next", m_nextOffset }, { "waited_ms", waited.count() },
             { "failures", m_reads.failures() + 1 }, { "problem", describe(problem) } });
-    m_health.failed(problem);
+    m_health.recordFailure(problem);
 }
 
 // Returns the records that changed something.
@@ -209,7 +210,7 @@
 {
     std::erase_if(records, [this](const LogRecord& record) { return !m_handlers.record(record); });
     m_nextOffset = nextOffset;
-    m_handlers.upToDate();
+    m_handlers.caughtUp();
     return records;
 }
 
@@ -233,6 +234,9 @@
     return true;
 }
 
-bool LogFollower::isFedByPeer() const { return m_peerReadAt && m_context.now() - *m_peerReadAt < peerReadValidity; }
+bool LogFollower::hasRecentPeerRead() const
+{
+    return m_peerReadAt && m_context.now() - *m_peerReadAt < peerReadValidity;
+}
 
 } // namespace Kumquatpick
--- a/src/gateway/storeclient.h
+++ b/src/gateway/storeclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "fleet/logreads.h"
+#include "fleet/logreadtiming.h"
 #include "gateway/context.h"
 #include "gateway/recordfeed.h"
 
@@ -18,8 +18,8 @@
     {
     }
 
-    void answered();
-    void failed(const Error&);
+    void recordResponse();
+    void recordFailure(const Error&);
     bool isServing() const { return m_isServing; }
     // Records the start of service reported by a node that reads the store for this one.
     void observePeerServedSince(MonotonicTime since) { m_servedSince = std::max(m_servedSince, since); }
@@ -42,25 +42,25 @@
         std::function<void()> beginListing;
         std::function<bool(const LogRecord&)> record; // Returns false if the record changes nothing.
         std::function<void()> endListing;
-        std::function<void()> upToDate = [] {}; // All existing records were read.
+        std::function<void()> caughtUp = [] {}; // All existing records were read.
     };
     struct ReadOptions {
-        LogReads reads;
+        LogReadTiming reads;
         Milliseconds readPause; // Pause between reads, so that one read returns several records.
         bool isKeyed = true;
     };
 
     // Result of reading from another node in place of the store: the records from an offset on, or a listing if that
     // node no longer has them.
-    struct PeerRead {
+    struct PeerReadResult {
         std::optional<RecordBatch> batch; // Nothing if there is no node to ask or none responds in time.
         bool mayReadStore = true; // If false, only other nodes may be asked.
     };
     // If the store is unavailable, all nodes that read it are asked.
-    using ReadFromPeer = std::function<asio::awaitable<PeerRead>(uint64_t from, bool isTurnedAway)>;
+    using ReadFromPeer = std::function<asio::awaitable<PeerReadResult>(uint64_t from, bool isStoreUnavailable)>;
 
     LogFollower(GatewayContext&, StoreHealth&, LogName, ReadOptions, Handlers);
-    void readFromPeers(ReadFromPeer read) { m_readFromPeer = std::move(read); }
+    void setReadFromPeer(ReadFromPeer read) { m_readFromPeer = std::move(read); }
     // Follows the log only while the predicate is true, and continues where it stopped.
     void followWhile(std::function<bool()> isWanted) { m_isActive = std::move(isWanted); }
     // Recently read records, for other nodes.
@@ -69,7 +69,7 @@
     asio::awaitable<void> run();
     uint64_t nextOffset() const { return m_nextOffset; }
     // Whether another node recently read the store for this one.
-    bool isFedByPeer() const;
+    bool hasRecentPeerRead() const;
     // When the log was last read to its end, by this node or by the node that reads for it; nothing before the first
     // time.
     std::optional<MonotonicTime> syncedAt() const { return m_syncedAt; }
@@ -107,9 +107,9 @@
     RecordFeed m_feed;
     uint64_t m_nextOffset = 0;
     bool m_isListed = false;
-    bool m_mayReadStore = true; // According to the latest PeerRead.
+    bool m_mayReadStore = true; // According to the latest PeerReadResult.
     std::optional<Listing> m_listing; // In progress.
-    LogReads m_reads;
+    LogReadTiming m_reads;
     MonotonicTime m_storeTriedAt {};
     std::optional<MonotonicTime> m_syncedAt;
     std::optional<MonotonicTime> m_peerReadAt; // Set if the latest successful read was from a peer.
--- a/src/policy/bench_model.cpp
+++ b/src/policy/bench_model.cpp
@@ -61,7 +61,7 @@
 double ModelReplica::rate() const
 {
     double others = m_running.empty() ? 0 : static_cast<double>(m_running.size() - 1);
-    return m_settings.speed / (1 + others * m_settings.sharing);
+    return m_settings.speed / (1 + others * m_settings.slowdownPerStream);
 }
 
 void ModelReplica::advance()
--- a/src/policy/bench_model.h
+++ b/src/policy/bench_model.h
@@ -67,12 +67,12 @@
     struct Settings {
         uint32_t streamLimit = 16;
         double speed = 1;
-        double sharing = 0.08; // Slowdown of the others by each additional stream.
+        double slowdownPerStream = 0.08; // Slowdown of the others by each additional stream.
         size_t cacheUnits = 4096; // One unit is the length of the shortest prefix.
     };
 
     struct Callbacks {
-        std::function<void(uint64_t id, double hitShare)> firstToken;
+        std::function<void(uint64_t id, double hitRatio)> firstToken;
         std::function<void(uint64_t id)> finished;
         std::function<void(uint64_t prefix, bool stored)> cacheChanged;
     };
--- a/src/policy/bench_routing.cpp
+++ b/src/policy/bench_routing.cpp
@@ -27,8 +27,8 @@
     constexpr double promptSeconds = 0.6;
     constexpr double fixedSeconds = 0.06;
     constexpr double answerSeconds = 2.5;
-    // Streams share a replica's speed: at the limit it does limit / (1 + sharing * (limit - 1)) seconds of work per
-    // second.
+    // Streams share a replica's speed: at the limit it does limit / (1 + slowdownPerStream * (limit - 1)) seconds of
+    // work per second.
     constexpr double fullRate = streamLimit / (1 + 0.08 * (streamLimit - 1));
 
     struct Scenario {
@@ -80,7 +80,7 @@
     struct RoutingOutcome {
         std::vector<double> firstTokens;
         uint32_t finished = 0;
-        double hits = 0;
+        double hitRatioSum = 0;
         double sameZone = 0;
     };
 
@@ -128,7 +128,7 @@
             if (underreports(index))
                 settings.speed = 0.5;
             ModelReplica::Callbacks callbacks;
-            callbacks.firstToken = [this](uint64_t id, double hit) { firstToken(id, hit); };
+            callbacks.firstToken = [this](uint64_t id, double hitRatio) { firstToken(id, hitRatio); };
             callbacks.finished = [this](uint64_t id) { finished(id); };
             callbacks.cacheChanged
                 = [this, index](uint64_t prefix, bool stored) { cacheChanged(index, prefix, stored); };
@@ -208,7 +208,7 @@
             m_replicas[replica]->start(std::move(request));
         }
 
-        void firstToken(uint64_t id, double hit)
+        void firstToken(uint64_t id, double hitRatio)
         {
             const InFlight& flight = m_inFlight[id];
             double seconds = m_events.now() - flight.dispatched;
@@ -217,7 +217,7 @@
             if (!measured())
                 return;
             m_outcome.firstTokens.push_back(seconds);
-            m_outcome.hits += hit;
+            m_outcome.hitRatioSum += hitRatio;
             m_outcome.sameZone += zoneName(flight.node) == zoneName(flight.replica);
         }
 
@@ -309,9 +309,9 @@
             double p99 = quantile(outcome.firstTokens, 0.99);
             double perSecond = outcome.finished / (measuredUntil - measuredFrom);
             double sameZone = outcome.sameZone / double(outcome.firstTokens.size());
-            double hitShare = outcome.hits / double(outcome.firstTokens.size());
+            double hitRatio = outcome.hitRatioSum / double(outcome.firstTokens.size());
             table.rows.push_back({ scenario.name, variant.name, fmt::format("{:.3f}", p50), fmt::format("{:.3f}", p95),
-                fmt::format("{:.3f}", p99), fmt::format("{:.1f}", perSecond), fmt::format("{:.3f}", hitShare),
+                fmt::format("{:.3f}", p99), fmt::format("{:.1f}", perSecond), fmt::format("{:.3f}", hitRatio),
                 fmt::format("{:.2f}", sameZone) });
         }
     }
--- a/src/policy/router.h
+++ b/src/policy/router.h
@@ -26,7 +26,7 @@
 enum class DispatchEnd : uint8_t {
     Finished,
     CallerGone,
-    NotTaken, // Refused as full, or not sent: no evidence about the replica's health.
+    NotAccepted, // Refused as full, or not sent: no evidence about the replica's health.
     Failed, // Connection lost, timed out or refused by the backend server.
 };
 
--- a/tests/fleet/loadboard_test.cpp
+++ b/tests/fleet/loadaggregator_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/loadboard.h"
+#include "fleet/loadaggregator.h"
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 
 }
 
-TEST(LoadBoard, TotalExcludesTheNodeItself)
+TEST(LoadAggregator, TotalExcludesTheNodeItself)
 {
-    LoadBoard board;
+    LoadAggregator board;
     board.applyNodeReport("a", { { "head-1", 3 } }, start);
     board.applyNodeReport("b", { { "head-1", 2 }, { "head-2", 5 } }, start);
     board.applyZoneTotal("howrah", { { "head-2", 7 } }, start);
@@ -21,9 +21,9 @@
     EXPECT_EQ(board.totalExcept("c", start), (LoadsByHost { { "head-1", 5 }, { "head-2", 12 } }));
 }
 
-TEST(LoadBoard, UsesTheLatestReportOfANode)
+TEST(LoadAggregator, UsesTheLatestReportOfANode)
 {
-    LoadBoard board;
+    LoadAggregator board;
     board.applyNodeReport("a", { { "head-1", 3 } }, start);
     board.applyNodeReport("a", {}, start + Milliseconds(200));
     EXPECT_TRUE(board.zoneTotal(start + Milliseconds(200)).empty());
@@ -31,9 +31,9 @@
 }
 
 // The requests of a node that stopped, or of a zone that is partitioned, must not count forever.
-TEST(LoadBoard, DropsSilentSenders)
+TEST(LoadAggregator, DropsSilentSenders)
 {
-    LoadBoard board;
+    LoadAggregator board;
     board.applyNodeReport("a", { { "head-1", 3 } }, start);
     board.applyZoneTotal("howrah", { { "head-2", 7 } }, start);
     EXPECT_TRUE(board.hasRecentZoneTotal("howrah", Milliseconds(150), start + Milliseconds(100)));
--- a/tests/fleet/logreads_test.cpp
+++ b/tests/fleet/logreadtiming_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/logreads.h"
+#include "fleet/logreadtiming.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
 
     // A node that follows a log from the time start.
     struct Follower {
-        LogReads reads;
+        LogReadTiming reads;
         double draw = 1; // 1 gives the longest pauses.
 
         // The times at which the node reads the records that the store accepts at the given times, in order.
@@ -35,16 +35,16 @@
             std::vector<MonotonicTime> result;
             MonotonicTime now = start;
             while (result.size() < accepted.size()) {
-                ReadTerms terms = reads.next();
+                ReadTimeouts terms = reads.nextTimeouts();
                 MonotonicTime nextRecord = accepted[result.size()];
-                MonotonicTime answerAt = std::clamp(nextRecord, now, now + terms.hold) + storeAnswerTime;
-                bool isLost = answerAt - now > terms.patience || std::ranges::any_of(silences, [&](const Outage& s) {
-                    return s.from < answerAt && now < s.until;
-                });
-                now = isLost ? now + terms.patience + reads.failed(draw) : answerAt;
+                MonotonicTime answerAt = std::clamp(nextRecord, now, now + terms.longPollTime) + storeAnswerTime;
+                bool isLost = answerAt - now > terms.responseTimeout
+                    || std::ranges::any_of(
+                        silences, [&](const Outage& s) { return s.from < answerAt && now < s.until; });
+                now = isLost ? now + terms.responseTimeout + reads.recordFailure(draw) : answerAt;
                 if (isLost)
                     continue;
-                reads.succeeded();
+                reads.recordSuccess();
                 while (result.size() < accepted.size() && accepted[result.size()] <= now)
                     result.push_back(now);
             }
@@ -70,7 +70,7 @@
 // was still down. The second read blocked its node until its time-out of 4.7 s, although the store had answered all
 // other calls for 3 s. The test starts an outage at every point of a read, with every length up to 12 s, and has the
 // store accept a change as soon as it recovers.
-TEST(LogReads, ReadsEachRecordInTimeAfterAnOutageOfAnyLength)
+TEST(LogReadTiming, ReadsEachRecordInTimeAfterAnOutageOfAnyLength)
 {
     constexpr Milliseconds timeStep { 100 };
     for (Milliseconds begin { 0 }; begin < Milliseconds(6000); begin += timeStep) {
@@ -78,7 +78,8 @@
             Outage silence { start + begin, start + begin + length };
             std::vector<MonotonicTime> accepted { silence.until, silence.until + Milliseconds(300) };
             for (double draw : { 0.0, 1.0 }) {
-                Milliseconds delay = longestDelay({ LogReads::forMaxDelay(maxDelay), draw }, accepted, { silence });
+                Milliseconds delay
+                    = longestDelay({ LogReadTiming::forMaxDelay(maxDelay), draw }, accepted, { silence });
                 ASSERT_LE(delay + forwardingDelay, maxDelay)
                     << "outage from " << begin.count() << " ms, length in ms " << length.count();
             }
@@ -88,7 +89,7 @@
 
 // Records that the store accepts while it is serving must be read in time, also with frequent changes and with repeated
 // outages that begin before the nodes have recovered from the last one.
-RC_GTEST_PROP(LogReads, ReadsEachRecordOfAServingStoreInTime, ())
+RC_GTEST_PROP(LogReadTiming, ReadsEachRecordOfAServingStoreInTime, ())
 {
     auto within = Milliseconds(*rc::gen::inRange(2000, 6000));
     std::vector<Outage> silences;
@@ -107,7 +108,7 @@
         silences.push_back(silence);
     }
     double draw = *rc::gen::inRange(0, 101) / 100.0;
-    RC_ASSERT(longestDelay({ LogReads::forMaxDelay(within), draw }, accepted, silences) <= within);
+    RC_ASSERT(longestDelay({ LogReadTiming::forMaxDelay(within), draw }, accepted, silences) <= within);
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/ratelimits_test.cpp
+++ b/tests/fleet/ratelimits_test.cpp
@@ -10,7 +10,7 @@
     using namespace std::chrono_literals;
 
     constexpr MonotonicTime start { std::chrono::hours(1) };
-    const std::vector<DutyNode> alone { { "node-1", 1 } };
+    const std::vector<CandidateNode> alone { { "node-1", 1 } };
 
     // Calls per second of all nodes for one server among many.
     double callsFor(double limit) { return 5 * limit + 5; }
--- a/tests/fleet/ratelimitsimulation.h
+++ b/tests/fleet/ratelimitsimulation.h
@@ -130,7 +130,7 @@
     static constexpr const char* server = "server-1";
 
     struct Node {
-        DutyNode identity;
+        CandidateNode identity;
         RateLimits limits;
         std::optional<MonotonicTime> learnedAt;
         bool isAlive = true;
@@ -185,7 +185,7 @@
 
     void assignShares(size_t self)
     {
-        std::vector<DutyNode> seen;
+        std::vector<CandidateNode> seen;
         for (size_t other = 0; other < m_nodes.size(); ++other) {
             if (other == self || considersAlive(self, other))
                 seen.push_back(m_nodes[other].identity);
--- a/tests/fleet/rendezvous_test.cpp
+++ b/tests/fleet/rendezvous_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    std::vector<DutyNode> nodes(int count, double cpuShare = 0.25)
+    std::vector<CandidateNode> nodes(int count, double cpuShare = 0.25)
     {
-        std::vector<DutyNode> result;
+        std::vector<CandidateNode> result;
         result.reserve(static_cast<size_t>(count));
         for (int i = 0; i < count; ++i)
             result.push_back({ "10.1.0." + std::to_string(i) + ":8229", cpuShare });
@@ -34,7 +34,7 @@
 {
     auto seen = nodes(20);
     auto chosen = chooseNodes(seen, "hosts", 2);
-    std::erase_if(seen, [&](const DutyNode& node) { return node.address == chosen[0]; });
+    std::erase_if(seen, [&](const CandidateNode& node) { return node.address == chosen[0]; });
     auto next = chooseNodes(seen, "hosts", 2);
     EXPECT_EQ(next[0], chosen[1]);
 }
@@ -55,14 +55,14 @@
         seen[i].cpuShare = 0.5;
     for (int i = 0; i < 100; ++i) {
         std::string chosen = chooseNodes(seen, "duty-" + std::to_string(i), 1)[0];
-        auto node = std::ranges::find(seen, chosen, &DutyNode::address);
-        EXPECT_TRUE(isStrong(*node, seen)) << chosen;
+        auto node = std::ranges::find(seen, chosen, &CandidateNode::address);
+        EXPECT_TRUE(hasLargeCpuShare(*node, seen)) << chosen;
     }
     EXPECT_EQ(chooseNodes(seen, "hosts", 95).size(), 95u)
         << "the other nodes are used if there are too few with a large CPU share";
-    std::vector<DutyNode> weak(seen.begin() + 15, seen.end());
+    std::vector<CandidateNode> weak(seen.begin() + 15, seen.end());
     EXPECT_EQ(chooseNodes(weak, "hosts", 2).size(), 2u) << "the other nodes are used if none has a large CPU share";
-    EXPECT_TRUE(isStrong(weak[0], weak));
+    EXPECT_TRUE(hasLargeCpuShare(weak[0], weak));
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/patienceprofile_test.cpp
+++ b/tests/fleet/retrydetector_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/patienceprofile.h"
+#include "fleet/retrydetector.h"
 
 #include "base/random.h"
 #include <gtest/gtest.h>
@@ -18,16 +18,16 @@
 
 // First attempts have timeouts of 85 to 100% of the longest one, as set by phones. One in six calls is a retry after a
 // refusal, and its timeout is 1.5 to 3 s shorter.
-TEST(PatienceProfile, IgnoresTheUsualSpread)
+TEST(RetryDetector, IgnoresTheUsualSpread)
 {
-    PatienceProfile profile;
+    RetryDetector profile;
     Random random(3);
     int firstTriesCounted = 0;
     int retriesCounted = 0;
     for (int i = 0; i < 3000; ++i) {
         bool isRetry = i > 300 && i % 6 == 0;
         Milliseconds patience = between(random, 6800, 8000) - (isRetry ? between(random, 1500, 3000) : Milliseconds(0));
-        bool isCounted = profile.cameBack(patience, target);
+        bool isCounted = profile.classifyAsRetry(patience, target);
         firstTriesCounted += !isRetry && isCounted;
         retriesCounted += isRetry && isCounted;
     }
@@ -35,22 +35,22 @@
     EXPECT_GT(retriesCounted, 200) << "of 450 retries";
 }
 
-TEST(PatienceProfile, DetectsRetriesAmongCallersWithOneTimeout)
+TEST(RetryDetector, DetectsRetriesAmongCallersWithOneTimeout)
 {
-    PatienceProfile profile;
+    RetryDetector profile;
     for (int i = 0; i < 100; ++i)
-        EXPECT_FALSE(profile.cameBack(Milliseconds(6000), target));
-    EXPECT_TRUE(profile.cameBack(Milliseconds(5400), target));
-    EXPECT_FALSE(profile.cameBack(Milliseconds(5800), target));
+        EXPECT_FALSE(profile.classifyAsRetry(Milliseconds(6000), target));
+    EXPECT_TRUE(profile.classifyAsRetry(Milliseconds(5400), target));
+    EXPECT_FALSE(profile.classifyAsRetry(Milliseconds(5800), target));
 }
 
-TEST(PatienceProfile, IsNotShiftedByOneVeryLongTimeout)
+TEST(RetryDetector, IsNotShiftedByOneVeryLongTimeout)
 {
-    PatienceProfile profile;
+    RetryDetector profile;
     for (int i = 0; i < 100; ++i)
-        profile.cameBack(Milliseconds(6000), target);
-    profile.cameBack(Milliseconds(60'000), target);
-    EXPECT_FALSE(profile.cameBack(Milliseconds(6000), target));
+        profile.classifyAsRetry(Milliseconds(6000), target);
+    profile.classifyAsRetry(Milliseconds(60'000), target);
+    EXPECT_FALSE(profile.classifyAsRetry(Milliseconds(6000), target));
 }
 
 } // namespace Kumquatpick
--- a/tests/gateway/connectionpool_test.cpp
+++ b/tests/gateway/connectionpool_test.cpp
@@ -28,10 +28,10 @@
             beast::flat_buffer buffer;
             HttpRequest request;
             co_await http::async_read(socket, buffer, request, asTuple);
-            co_await pause(beforeHead);
+            co_await sleepFor(beforeHead);
             std::string_view head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
             co_await asio::async_write(socket, asio::buffer(head), asTuple);
-            co_await pause(beforeBody);
+            co_await sleepFor(beforeBody);
             std::string_view body = "text";
             co_await asio::async_write(socket, asio::buffer(body), asTuple);
         }
--- a/tests/gateway/listreaders_test.cpp
+++ b/tests/gateway/listreaders_test.cpp
@@ -79,7 +79,7 @@
             {
             }
 
-            DutyNode self;
+            CandidateNode self;
             ListReaders readers;
             RecordFeed feed;
             uint64_t next = 0;
@@ -90,12 +90,12 @@
 
         uint64_t logEnd() const { return static_cast<uint64_t>(toSeconds(now - start) * recordsPerSecond); }
 
-        std::vector<DutyNode> knownNodes(const Node& node, MonotonicTime at) const
+        std::vector<CandidateNode> knownNodes(const Node& node, MonotonicTime at) const
         {
             auto count = static_cast<size_t>(1 + toSeconds(at - start) * discoveriesPerSecond);
-            std::vector<DutyNode> result { node.self };
+            std::vector<CandidateNode> result { node.self };
             for (size_t i = 0; i < std::min<size_t>(count, nodes); ++i) {
-                const DutyNode& other = m_nodes[static_cast<size_t>(node.discoveryOrder[i])].self;
+                const CandidateNode& other = m_nodes[static_cast<size_t>(node.discoveryOrder[i])].self;
                 if (other.address != node.self.address)
                     result.push_back(other);
             }
@@ -116,7 +116,7 @@
                 if (hasNoList(address))
                     didAnyAnswer = true;
                 else
-                    node.readers.failed(address, now);
+                    node.readers.recordFailure(address, now);
             }
             if (!readersToQuery.empty() && !node.readers.mayReadStore(didAnyAnswer, now)) {
                 node.nextRead = now + Milliseconds(150);
@@ -184,11 +184,11 @@
 TEST(ListReaders, NodeIsolatedFromItsZoneReadsTheStore)
 {
     ListReaders readers("self");
-    std::vector<DutyNode> zone { { "self", 0.1 }, { "a", 0.5 }, { "b", 0.5 }, { "c", 0.5 } };
+    std::vector<CandidateNode> zone { { "self", 0.1 }, { "a", 0.5 }, { "b", 0.5 }, { "c", 0.5 } };
     EXPECT_EQ(readers.readersToQuery(zone, start).size(), 2u);
     EXPECT_FALSE(readers.mayReadStore(false, start));
     for (const char* node : { "a", "b", "c" })
-        readers.failed(node, start + Milliseconds(300));
+        readers.recordFailure(node, start + Milliseconds(300));
     EXPECT_TRUE(readers.readersToQuery(zone, start + Milliseconds(400)).empty()) << "this node is the only one left";
     EXPECT_TRUE(readers.mayReadStore(false, start + Milliseconds(1100)));
     EXPECT_FALSE(readers.mayReadStore(true, start + Milliseconds(1100)))
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -141,7 +141,7 @@
     Random random(1);
     while (router.choose(plain(), start, random) != "a") { }
     double before = router.expectedSeconds("a", start);
-    router.ended("a", DispatchEnd::NotTaken, start);
+    router.ended("a", DispatchEnd::NotAccepted, start);
     EXPECT_LE(router.expectedSeconds("a", start), before);
 }
 
@@ -156,7 +156,7 @@
         for (int i = 0; i < 200; ++i) {
             std::string replica = router.choose(plain(), now, random);
             times += replica == "a" ? 1 : 0;
-            router.ended(replica, DispatchEnd::NotTaken, now);
+            router.ended(replica, DispatchEnd::NotAccepted, now);
         }
         return times;
     };
