--- a/src/fleet/host.h
+++ b/src/fleet/host.h
@@ -46,21 +46,21 @@
     std::string domain; // Replicas whose hosts are all in one domain are faster.
 
     bool operator==(const HostStatus&) const = default;
-    bool isStaged(std::string_view wanted) const
+    bool isStaged(std::string_view modelName) const
     {
-        return std::ranges::find(stagedModels, wanted) != stagedModels.end();
+        return std::ranges::find(stagedModels, modelName) != stagedModels.end();
     }
     // Whether this is the state of a host that has just started for the first time: no membership and no models.
     bool isBlank() const { return !membership && model.empty() && lastModel.empty() && stagedModels.empty(); }
     // Whether the host can join the model without loading it from the weight store.
-    bool hasLocalCopy(std::string_view wanted) const { return lastModel == wanted || isStaged(wanted); }
+    bool hasLocalCopy(std::string_view modelName) const { return lastModel == modelName || isStaged(modelName); }
 };
 
 // A restarted host may keep its name but has lost its state. Each incarnation therefore has its own id: the name and,
 // if the host reports it, the start time. All state that is keyed by id starts empty for a new incarnation.
-inline std::string incarnationId(std::string_view name, uint64_t born)
+inline std::string incarnationId(std::string_view name, uint64_t startTime)
 {
-    return born == 0 ? std::string(name) : std::string(name) + '@' + std::to_string(born);
+    return startTime == 0 ? std::string(name) : std::string(name) + '@' + std::to_string(startTime);
 }
 
 // The name under which the host is listed and reachable.
@@ -72,11 +72,11 @@
 // In milliseconds since 1970; 0 if the host does not report it.
 inline uint64_t startTimeOf(std::string_view incarnationId)
 {
-    size_t at = incarnationId.rfind('@');
-    uint64_t born = 0;
-    if (at != std::string_view::npos)
-        std::from_chars(incarnationId.data() + at + 1, incarnationId.data() + incarnationId.size(), born);
-    return born;
+    size_t separator = incarnationId.rfind('@');
+    uint64_t startTime = 0;
+    if (separator != std::string_view::npos)
+        std::from_chars(incarnationId.data() + separator + 1, incarnationId.data() + incarnationId.size(), startTime);
+    return startTime;
 }
 
 // One incarnation of a backend server. Its id is never reused; its address may be, even for another service.
--- a/src/fleet/listreaders.cpp
+++ b/src/fleet/listreaders.cpp
@@ -52,8 +52,8 @@
 
 bool ListReaders::mayReadStore(bool didAnyAnswer, MonotonicTime now)
 {
-    m_missedSince = m_missedSince.value_or(now);
-    return now - *m_missedSince >= (didAnyAnswer ? readerGracePeriod : storeReadDelay);
+    m_unavailableSince = m_unavailableSince.value_or(now);
+    return now - *m_unavailableSince >= (didAnyAnswer ? readerGracePeriod : storeReadDelay);
 }
 
 } // namespace Kumquatpick
--- a/src/fleet/listreaders.h
+++ b/src/fleet/listreaders.h
@@ -31,7 +31,7 @@
 
     void recordFailure(std::string_view node, MonotonicTime now);
     // A node provided the list, or this node is a reader itself.
-    void recordSuccess() { m_missedSince.reset(); }
+    void recordSuccess() { m_unavailableSince.reset(); }
     // Whether this node may read the store itself after no node provided the list: after one second if no node of the
     // zone answered, which is still in time; later if one answered without a list, as the readers are still reading.
     bool mayReadStore(bool didAnyAnswer, MonotonicTime now);
@@ -41,7 +41,7 @@
 
     std::string m_self;
     std::map<std::string, MonotonicTime, std::less<>> m_failedAt;
-    std::optional<MonotonicTime> m_missedSince;
+    std::optional<MonotonicTime> m_unavailableSince;
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/loadaggregator.cpp
+++ b/src/fleet/loadaggregator.cpp
@@ -13,31 +13,32 @@
 
 void LoadAggregator::applyNodeReport(std::string_view node, LoadsByHost loads, MonotonicTime now)
 {
-    std::erase_if(m_nodes, [&](const auto& entry) { return now - entry.second.at > reportLifetime; });
-    m_nodes.insert_or_assign(std::string(node), LoadReport { std::move(loads), now });
+    std::erase_if(m_nodeReports, [&](const auto& entry) { return now - entry.second.receivedAt > reportLifetime; });
+    m_nodeReports.insert_or_assign(std::string(node), LoadReport { std::move(loads), now });
 }
 
 void LoadAggregator::applyZoneTotal(std::string_view zone, LoadsByHost loads, MonotonicTime now)
 {
-    m_zones.insert_or_assign(std::string(zone), LoadReport { std::move(loads), now });
+    m_zoneTotals.insert_or_assign(std::string(zone), LoadReport { std::move(loads), now });
 }
 
 bool LoadAggregator::hasNodeReports(MonotonicTime now) const
 {
-    return std::ranges::any_of(m_nodes, [&](const auto& entry) { return now - entry.second.at <= reportLifetime; });
+    return std::ranges::any_of(
+        m_nodeReports, [&](const auto& entry) { return now - entry.second.receivedAt <= reportLifetime; });
 }
 
 bool LoadAggregator::hasRecentZoneTotal(std::string_view zone, Milliseconds within, MonotonicTime now) const
 {
-    auto found = m_zones.find(zone);
-    return found != m_zones.end() && now - found->second.at < within;
+    auto found = m_zoneTotals.find(zone);
+    return found != m_zoneTotals.end() && now - found->second.receivedAt < within;
 }
 
 void LoadAggregator::addRecentLoads(
     const ReportsBySender& reports, std::string_view except, MonotonicTime now, LoadsByHost& total)
 {
     for (const auto& [name, report] : reports) {
-        if (name == except || now - report.at > reportLifetime)
+        if (name == except || now - report.receivedAt > reportLifetime)
             continue;
         for (const auto& [host, count] : report.loads)
             total[host] += count;
@@ -47,15 +48,15 @@
 LoadsByHost LoadAggregator::zoneTotal(MonotonicTime now) const
 {
     LoadsByHost total;
-    addRecentLoads(m_nodes, {}, now, total);
+    addRecentLoads(m_nodeReports, {}, now, total);
     return total;
 }
 
 LoadsByHost LoadAggregator::totalExcept(std::string_view node, MonotonicTime now) const
 {
     LoadsByHost total;
-    addRecentLoads(m_nodes, node, now, total);
-    addRecentLoads(m_zones, {}, now, total);
+    addRecentLoads(m_nodeReports, node, now, total);
+    addRecentLoads(m_zoneTotals, {}, now, total);
     return total;
 }
 
--- a/src/fleet/loadaggregator.h
+++ b/src/fleet/loadaggregator.h
@@ -32,14 +32,14 @@
 private:
     struct LoadReport {
         LoadsByHost loads;
-        MonotonicTime at {};
+        MonotonicTime receivedAt {};
     };
     using ReportsBySender = std::map<std::string, LoadReport, std::less<>>;
 
     static void addRecentLoads(const ReportsBySender&, std::string_view except, MonotonicTime now, LoadsByHost& total);
 
-    ReportsBySender m_nodes;
-    ReportsBySender m_zones;
+    ReportsBySender m_nodeReports;
+    ReportsBySender m_zoneTotals;
 };
 
 } // namespace Kumquatpick
--- a/src/fleet/logreadtiming.h
+++ b/src/fleet/logreadtiming.h
@@ -18,7 +18,7 @@
 // the time by which a lost read may delay records, and is not used until the store has answered again.
 class LogReadTiming {
 public:
-    explicit LogReadTiming(Milliseconds longestHold);
+    explicit LogReadTiming(Milliseconds maxLongPoll);
     // For a log whose records must reach this node, and the nodes that it reads for, within the given time after the
     // store accepted them, even if one read is lost.
     static LogReadTiming forMaxDelay(Milliseconds);
@@ -29,17 +29,17 @@
     // as much as one that is read.
     Milliseconds listingTimeout() const;
     void recordSuccess() { m_failures = 0; }
-    // Returns the pause before the next read. draw: random in 0..1, so that nodes do not retry at the same time.
-    Milliseconds recordFailure(double draw);
+    // Returns the pause before the next read. jitter: random in 0..1, so that nodes do not retry at the same time.
+    Milliseconds recordFailure(double jitter);
     // Consecutive failures.
     int failures() const { return m_failures; }
 
 private:
-    LogReadTiming(Milliseconds longestHold, Milliseconds longestPause, Milliseconds longestListing);
+    LogReadTiming(Milliseconds maxLongPoll, Milliseconds maxPause, Milliseconds maxListingTimeout);
 
-    Milliseconds m_longestHold;
-    Milliseconds m_longestPause;
-    Milliseconds m_longestListing; // For one page.
+    Milliseconds m_maxLongPoll;
+    Milliseconds m_maxPause;
+    Milliseconds m_maxListingTimeout; // For one page.
     int m_failures = 0;
 };
 
--- a/src/fleet/ordercounts.cpp
+++ b/src/fleet/ordercounts.cpp
@@ -4,10 +4,10 @@
 
 void OrderCounts::beginOrder(const HostOrder& order, const HostTable& hosts)
 {
-    auto orders = currentCount(hosts, order.hostId);
+    auto orderCount = currentCount(hosts, order.hostId);
     auto member = isMember(order, hosts);
     Count& count = m_counts[order.hostId];
-    count.beforeOrder = orders;
+    count.beforeOrder = orderCount;
     count.wasMember = member;
 }
 
@@ -29,14 +29,14 @@
     count.endedAt = now;
     // A host counts the orders that it starts. A leave completes at once, so its answer is the same as for a leave that
     // had nothing to do.
-    std::optional<bool> hasBegun;
+    std::optional<bool> hasStarted;
     if (result == OrderResult::Accepted)
-        hasBegun = true;
+        hasStarted = true;
     else if (result == OrderResult::Holds)
-        hasBegun = order.kind == OrderKind::Leave ? count.wasMember : std::optional(false);
+        hasStarted = order.kind == OrderKind::Leave ? count.wasMember : std::optional(false);
     count.afterOrder.reset();
-    if (hasBegun && count.beforeOrder)
-        count.afterOrder = *count.beforeOrder + (*hasBegun ? 1 : 0);
+    if (hasStarted && count.beforeOrder)
+        count.afterOrder = *count.beforeOrder + (*hasStarted ? 1 : 0);
     count.joinedEpoch.reset();
     if (order.kind == OrderKind::Join && result == OrderResult::Accepted)
         count.joinedEpoch = order.epoch;
--- a/src/fleet/retrydetector.h
+++ b/src/fleet/retrydetector.h
@@ -13,13 +13,13 @@
 // A comparison with the longest timeout alone classified two calls in three as retries where timeouts vary by 15%.
 class RetryDetector {
 public:
-    // Records the timeout of a call. Returns whether it is too short for a first attempt by at least leastDelay.
-    bool classifyAsRetry(Milliseconds patience, Milliseconds leastDelay);
+    // Records the timeout of a call. Returns whether it is too short for a first attempt by at least minDelay.
+    bool classifyAsRetry(Milliseconds timeout, Milliseconds minDelay);
 
 private:
     // Running quantile estimates. Each step up or down is weighted so that the estimate settles at its quantile.
     std::optional<double> m_median;
-    std::optional<double> m_top;
+    std::optional<double> m_highQuantile;
 };
 
 } // namespace Kumquatpick
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -52,13 +52,14 @@
     m_context.log.write("store_unavailable", { { "problem", describe(error) } });
 }
 
-LogFollower::LogFollower(GatewayContext& context, StoreHealth& health, LogName log, ReadOptions pace, Handlers handlers)
+LogFollower::LogFollower(
+    GatewayContext& context, StoreHealth& health, LogName log, ReadOptions options, Handlers handlers)
     : m_context(context)
     , m_health(health)
     , m_log(log)
-    , m_readOptions(pace)
+    , m_readOptions(options)
     , m_handlers(std::move(handlers))
-    , m_reads(pace.reads)
+    , m_reads(options.reads)
 {
 }
 
@@ -73,13 +74,13 @@
             continue;
         }
         Outcome outcome = co_await readOnce();
-        Milliseconds rest = m_listing ? Milliseconds(0) : m_readOptions.readPause;
+        Milliseconds delay = m_listing ? Milliseconds(0) : m_readOptions.readPause;
         if (outcome == Outcome::Failed)
-            rest = m_reads.recordFailure(m_context.drawUniform());
+            delay = m_reads.recordFailure(m_context.drawUniform());
         else if (outcome == Outcome::RetryPeers)
-            rest = peerRetryDelay;
-        if (rest.count() > 0)
-            co_await sleepFor(rest);
+            delay = peerRetryDelay;
+        if (delay.count() > 0)
+            co_await sleepFor(delay);
     }
 }
 
@@ -167,9 +168,9 @@
 {
     m_context.metrics.count("store_calls_total{kind=\"read\"}");
     m_storeTriedAt = m_context.now();
-    ReadTimeouts terms = m_reads.nextTimeouts();
+    ReadTimeouts timeouts = m_reads.nextTimeouts();
     auto answer = co_await m_context.pool.exchange(m_context.settings.store,
-        m_context.platform.readLog(m_log, m_nextOffset, terms.longPollTime), terms.responseTimeout, Step::LogRead,
+        m_context.platform.readLog(m_log, m_nextOffset, timeouts.longPollTime), timeouts.responseTimeout, Step::LogRead,
         bodyTimeout);
     auto* response = std::get_if<HttpResponse>(&answer);
     auto page = response ? m_context.platform.logPage(m_log, m_nextOffset, *response)
@@ -189,9 +190,9 @@
         co_return true;
     }
     uint64_t from = m_nextOffset;
-    auto news = applyRecords(std::move(found.records), found.nextOffset);
+    auto changes = applyRecords(std::move(found.records), found.nextOffset);
     m_syncedAt = m_context.now();
-    m_feed.append(from, std::move(news), m_nextOffset, m_context.now());
+    m_feed.append(from, std::move(changes), m_nextOffset, m_context.now());
     co_return true;
 }
 
@@ -227,10 +228,10 @@
         return true;
     }
     uint64_t from = m_nextOffset;
-    auto news = applyRecords(std::move(batch.records), batch.nextOffset);
+    auto changes = applyRecords(std::move(batch.records), batch.nextOffset);
     m_syncedAt = std::max(m_syncedAt.value_or(readAt), readAt);
     // Nodes that have received few digests may consider this node a reader and read from it.
-    m_feed.append(from, std::move(news), m_nextOffset, *m_syncedAt);
+    m_feed.append(from, std::move(changes), m_nextOffset, *m_syncedAt);
     return true;
 }
 
--- a/src/gateway/storeclient.h
+++ b/src/gateway/storeclient.h
@@ -62,7 +62,7 @@
     LogFollower(GatewayContext&, StoreHealth&, LogName, ReadOptions, Handlers);
     void setReadFromPeer(ReadFromPeer read) { m_readFromPeer = std::move(read); }
     // Follows the log only while the predicate is true, and continues where it stopped.
-    void followWhile(std::function<bool()> isWanted) { m_isActive = std::move(isWanted); }
+    void followWhile(std::function<bool()> predicate) { m_isActive = std::move(predicate); }
     // Recently read records, for other nodes.
     const RecordFeed& feed() const { return m_feed; }
     // Runs until the event loop ends.
--- a/tests/fleet/logreadtiming_test.cpp
+++ b/tests/fleet/logreadtiming_test.cpp
@@ -26,26 +26,26 @@
     // A node that follows a log from the time start.
     struct Follower {
         LogReadTiming reads;
-        double draw = 1; // 1 gives the longest pauses.
+        double jitter = 1; // 1 gives the longest pauses.
 
         // The times at which the node reads the records that the store accepts at the given times, in order.
         std::vector<MonotonicTime> readTimes(
-            const std::vector<MonotonicTime>& accepted, const std::vector<Outage>& silences)
+            const std::vector<MonotonicTime>& acceptedAt, const std::vector<Outage>& outages)
         {
             std::vector<MonotonicTime> result;
             MonotonicTime now = start;
-            while (result.size() < accepted.size()) {
-                ReadTimeouts terms = reads.nextTimeouts();
-                MonotonicTime nextRecord = accepted[result.size()];
-                MonotonicTime answerAt = std::clamp(nextRecord, now, now + terms.longPollTime) + storeAnswerTime;
-                bool isLost = answerAt - now > terms.responseTimeout
+            while (result.size() < acceptedAt.size()) {
+                ReadTimeouts timeouts = reads.nextTimeouts();
+                MonotonicTime nextRecord = acceptedAt[result.size()];
+                MonotonicTime answerAt = std::clamp(nextRecord, now, now + timeouts.longPollTime) + storeAnswerTime;
+                bool isLost = answerAt - now > timeouts.responseTimeout
                     || std::ranges::any_of(
-                        silences, [&](const Outage& s) { return s.from < answerAt && now < s.until; });
-                now = isLost ? now + terms.responseTimeout + reads.recordFailure(draw) : answerAt;
+                        outages, [&](const Outage& s) { return s.from < answerAt && now < s.until; });
+                now = isLost ? now + timeouts.responseTimeout + reads.recordFailure(jitter) : answerAt;
                 if (isLost)
                     continue;
                 reads.recordSuccess();
-                while (result.size() < accepted.size() && accepted[result.size()] <= now)
+                while (result.size() < acceptedAt.size() && acceptedAt[result.size()] <= now)
                     result.push_back(now);
             }
             return result;
@@ -54,12 +54,12 @@
 
     // The longest time between the store's acceptance of a record and the node's read of it.
     Milliseconds longestDelay(
-        Follower follower, const std::vector<MonotonicTime>& accepted, const std::vector<Outage>& silences)
+        Follower follower, const std::vector<MonotonicTime>& acceptedAt, const std::vector<Outage>& outages)
     {
-        auto readAt = follower.readTimes(accepted, silences);
+        auto readAt = follower.readTimes(acceptedAt, outages);
         MonotonicTime::duration longest {};
-        for (size_t i = 0; i < accepted.size(); ++i)
-            longest = std::max(longest, readAt[i] - accepted[i]);
+        for (size_t i = 0; i < acceptedAt.size(); ++i)
+            longest = std::max(longest, readAt[i] - acceptedAt[i]);
         return std::chrono::ceil<Milliseconds>(longest);
     }
 
@@ -75,11 +75,11 @@
     constexpr Milliseconds timeStep { 100 };
     for (Milliseconds begin { 0 }; begin < Milliseconds(6000); begin += timeStep) {
         for (Milliseconds length = timeStep; length < Milliseconds(12'000); length += timeStep) {
-            Outage silence { start + begin, start + begin + length };
-            std::vector<MonotonicTime> accepted { silence.until, silence.until + Milliseconds(300) };
-            for (double draw : { 0.0, 1.0 }) {
+            Outage outage { start + begin, start + begin + length };
+            std::vector<MonotonicTime> acceptedAt { outage.until, outage.until + Milliseconds(300) };
+            for (double jitter : { 0.0, 1.0 }) {
                 Milliseconds delay
-                    = longestDelay({ LogReadTiming::forMaxDelay(maxDelay), draw }, accepted, { silence });
+                    = longestDelay({ LogReadTiming::forMaxDelay(maxDelay), jitter }, acceptedAt, { outage });
                 ASSERT_LE(delay + forwardingDelay, maxDelay)
                     << "outage from " << begin.count() << " ms, length in ms " << length.count();
             }
@@ -91,24 +91,24 @@
 // outages that begin before the nodes have recovered from the last one.
 RC_GTEST_PROP(LogReadTiming, ReadsEachRecordOfAServingStoreInTime, ())
 {
-    auto within = Milliseconds(*rc::gen::inRange(2000, 6000));
-    std::vector<Outage> silences;
-    std::vector<MonotonicTime> accepted;
+    auto delayLimit = Milliseconds(*rc::gen::inRange(2000, 6000));
+    std::vector<Outage> outages;
+    std::vector<MonotonicTime> acceptedAt;
     MonotonicTime now = start;
     for (int i = *rc::gen::inRange(1, 5); i > 0; --i) {
-        Outage silence { now + Milliseconds(*rc::gen::inRange(0, 9000)), {} };
-        silence.until = silence.from + Milliseconds(*rc::gen::inRange(1, 12'000));
+        Outage outage { now + Milliseconds(*rc::gen::inRange(0, 9000)), {} };
+        outage.until = outage.from + Milliseconds(*rc::gen::inRange(1, 12'000));
         // The store serves long enough before the next outage that each change must have arrived.
-        now = silence.until;
+        now = outage.until;
         for (int changes = *rc::gen::inRange(1, 6); changes > 0; --changes) {
-            accepted.push_back(now);
+            acceptedAt.push_back(now);
             now += Milliseconds(*rc::gen::inRange(60, 700));
         }
-        now = accepted.back() + within;
-        silences.push_back(silence);
+        now = acceptedAt.back() + delayLimit;
+        outages.push_back(outage);
     }
-    double draw = *rc::gen::inRange(0, 101) / 100.0;
-    RC_ASSERT(longestDelay({ LogReadTiming::forMaxDelay(within), draw }, accepted, silences) <= within);
+    double jitter = *rc::gen::inRange(0, 101) / 100.0;
+    RC_ASSERT(longestDelay({ LogReadTiming::forMaxDelay(delayLimit), jitter }, acceptedAt, outages) <= delayLimit);
 }
 
 } // namespace Kumquatpick
--- a/tests/fleet/retrydetector_test.cpp
+++ b/tests/fleet/retrydetector_test.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    constexpr Milliseconds target { 400 };
+    constexpr Milliseconds targetLatency { 400 };
 
-    Milliseconds between(Random& random, int lowest, int highest)
+    Milliseconds randomTimeout(Random& random, int lowest, int highest)
     {
         return Milliseconds(lowest + static_cast<int>(random() % static_cast<unsigned>(highest - lowest)));
     }
@@ -20,37 +20,38 @@
 // refusal, and its timeout is 1.5 to 3 s shorter.
 TEST(RetryDetector, IgnoresTheUsualSpread)
 {
-    RetryDetector profile;
+    RetryDetector detector;
     Random random(3);
-    int firstTriesCounted = 0;
-    int retriesCounted = 0;
+    int falsePositives = 0;
+    int detectedRetries = 0;
     for (int i = 0; i < 3000; ++i) {
         bool isRetry = i > 300 && i % 6 == 0;
-        Milliseconds patience = between(random, 6800, 8000) - (isRetry ? between(random, 1500, 3000) : Milliseconds(0));
-        bool isCounted = profile.classifyAsRetry(patience, target);
-        firstTriesCounted += !isRetry && isCounted;
-        retriesCounted += isRetry && isCounted;
+        Milliseconds timeout
+            = randomTimeout(random, 6800, 8000) - (isRetry ? randomTimeout(random, 1500, 3000) : Milliseconds(0));
+        bool isDetected = detector.classifyAsRetry(timeout, targetLatency);
+        falsePositives += !isRetry && isDetected;
+        detectedRetries += isRetry && isDetected;
     }
-    EXPECT_LT(firstTriesCounted, 25) << "of about 2,550 first attempts";
-    EXPECT_GT(retriesCounted, 200) << "of 450 retries";
+    EXPECT_LT(falsePositives, 25) << "of about 2,550 first attempts";
+    EXPECT_GT(detectedRetries, 200) << "of 450 retries";
 }
 
 TEST(RetryDetector, DetectsRetriesAmongCallersWithOneTimeout)
 {
-    RetryDetector profile;
+    RetryDetector detector;
     for (int i = 0; i < 100; ++i)
-        EXPECT_FALSE(profile.classifyAsRetry(Milliseconds(6000), target));
-    EXPECT_TRUE(profile.classifyAsRetry(Milliseconds(5400), target));
-    EXPECT_FALSE(profile.classifyAsRetry(Milliseconds(5800), target));
+        EXPECT_FALSE(detector.classifyAsRetry(Milliseconds(6000), targetLatency));
+    EXPECT_TRUE(detector.classifyAsRetry(Milliseconds(5400), targetLatency));
+    EXPECT_FALSE(detector.classifyAsRetry(Milliseconds(5800), targetLatency));
 }
 
 TEST(RetryDetector, IsNotShiftedByOneVeryLongTimeout)
 {
-    RetryDetector profile;
+    RetryDetector detector;
     for (int i = 0; i < 100; ++i)
-        profile.classifyAsRetry(Milliseconds(6000), target);
-    profile.classifyAsRetry(Milliseconds(60'000), target);
-    EXPECT_FALSE(profile.classifyAsRetry(Milliseconds(6000), target));
+        detector.classifyAsRetry(Milliseconds(6000), targetLatency);
+    detector.classifyAsRetry(Milliseconds(60'000), targetLatency);
+    EXPECT_FALSE(detector.classifyAsRetry(Milliseconds(6000), targetLatency));
 }
 
 } // namespace Kumquatpick
