--- a/src/gateway/activecall.h
+++ b/src/gateway/activecall.h
@@ -36,14 +36,14 @@
     bool responseStarted = false; // The response head was sent to the caller.
     bool isDone = false;
 
-    void cancel(CancelReason why)
+    void cancel(CancelReason reason)
     {
         if (isDone || cancelReason != CancelReason::None)
             return;
-        cancelReason = why;
+        cancelReason = reason;
         closeBackend();
         // Once the response has started, only closing the connection can end it early.
-        if (responseStarted || why == CancelReason::CallerDisconnected) {
+        if (responseStarted || reason == CancelReason::CallerDisconnected) {
             beast::error_code ignored; // An error while closing a broken socket needs no handling.
             caller.close(ignored);
         }
--- a/src/gateway/controllerloop.cpp
+++ b/src/gateway/controllerloop.cpp
@@ -74,17 +74,17 @@
             m_addresses.insert_or_assign(id, host.address);
         m_addressesVersion = m_context.hosts.version();
     }
-    HostIdSet awaited;
-    HostIdSet awaitedLater;
+    HostIdSet hostsToPoll;
+    HostIdSet hostsToPollLater;
     for (const ServiceSpec& service : m_context.routes->config().services) {
         if (!service.servesModels())
             continue;
         planService(service, fencing);
         const ReplicaPlanner& planner = *m_planners.at(service.name);
-        awaited.insert(planner.hostsToPoll().begin(), planner.hostsToPoll().end());
-        awaitedLater.insert(planner.hostsToPollLater().begin(), planner.hostsToPollLater().end());
+        hostsToPoll.insert(planner.hostsToPoll().begin(), planner.hostsToPoll().end());
+        hostsToPollLater.insert(planner.hostsToPollLater().begin(), planner.hostsToPollLater().end());
     }
-    pollHosts(awaited, awaitedLater);
+    pollHosts(hostsToPoll, hostsToPollLater);
 }
 
 void ControllerLoop::planService(const ServiceSpec& service, uint64_t fencing)
@@ -96,11 +96,12 @@
     auto wanted = wantedReplicas(service);
     bool anyCallSeen = m_context.anyCallSeen;
     m_peers.forEachAlive([&](const PeerDigest& digest) { anyCallSeen = anyCallSeen || digest.anyCallSeen; });
-    HostIdSet still = stalledHeads();
+    HostIdSet stalledHosts = stalledHeads();
     PlannerInput input { m_context.now(), m_context.hosts, service, wanted,
         [this](std::string_view id) { return contact(id); },
-        [this, &still](
-            std::string_view id) { return still.contains(id) || m_context.balancer.isSuspected(id, m_context.now()); },
+        [this, &stalledHosts](std::string_view id) {
+            return stalledHosts.contains(id) || m_context.balancer.isSuspected(id, m_context.now());
+        },
         !anyCallSeen, m_context.disabledMechanisms };
     auto orders = planner->plan(input);
     if (input.now - m_summaryAt >= summaryPeriod) {
@@ -133,31 +134,31 @@
 
 void ControllerLoop::updateDemand(const std::string& service, const std::string& model)
 {
-    double places = m_context.balancer.inFlightOf(service, model) + m_context.demand[model].unmetDemand;
+    double slots = m_context.balancer.inFlightOf(service, model) + m_context.demand[model].unmetDemand;
     m_peers.forEachAlive([&](const PeerDigest& digest) {
-        auto waiting = digest.unmetDemand.find(model);
-        places += waiting == digest.unmetDemand.end() ? 0 : waiting->second;
+        auto unmet = digest.unmetDemand.find(model);
+        slots += unmet == digest.unmetDemand.end() ? 0 : unmet->second;
     });
-    m_demand[model].observe(places);
+    m_demand[model].observe(slots);
 }
 
 std::map<std::string, double, std::less<>> ControllerLoop::wantedReplicas(const ServiceSpec& service) const
 {
     std::map<std::string, double, std::less<>> wanted;
-    double places = 0;
-    double shares = 0;
+    double slots = 0;
+    double totalWorkShare = 0;
     for (const ModelSpec& model : service.models) {
-        places += m_demand.at(model.name).demandedSlots();
-        shares += model.workShare;
+        slots += m_demand.at(model.name).demandedSlots();
+        totalWorkShare += model.workShare;
     }
     // The shares configured by operators apply until the calls in flight fill the slots of one replica.
-    bool isKnown = places >= service.capacity;
+    bool hasMeasuredDemand = slots >= service.capacity;
     auto hosts = static_cast<double>(std::ranges::count_if(
         m_context.hosts.hosts(), [&](const auto& entry) { return entry.second.service == service.name; }));
     for (const ModelSpec& model : service.models) {
         // Hosts are assigned in proportion to the configured work share of a model.
-        double expected = shares > 0 ? hosts * model.workShare / shares / model.hostsPerReplica : 1;
-        wanted[model.name] = isKnown ? m_demand.at(model.name).replicas(service.capacity) : expected;
+        double expected = totalWorkShare > 0 ? hosts * model.workShare / totalWorkShare / model.hostsPerReplica : 1;
+        wanted[model.name] = hasMeasuredDemand ? m_demand.at(model.name).replicas(service.capacity) : expected;
     }
     return wanted;
 }
@@ -175,12 +176,12 @@
 {
     // A listed incarnation is the newest one of its name.
     const Host* newest = m_context.hosts.find(hostId) ? nullptr : m_context.hosts.findByName(hostName(hostId));
-    bool hasStartedAgain = newest != nullptr;
+    bool hasRestarted = newest != nullptr;
     auto found = m_contacts.find(hostId);
     if (found == m_contacts.end())
-        return hasStartedAgain ? HostContact::Ended : HostContact::Unknown;
+        return hasRestarted ? HostContact::Ended : HostContact::Unknown;
     const Contact& contact = found->second;
-    if (contact.hasEnded || hasStartedAgain)
+    if (contact.hasEnded || hasRestarted)
         return HostContact::Ended;
     if (contact.failures >= failuresUntilSilent && contact.isRefused)
         return HostContact::Refused;
@@ -192,7 +193,7 @@
 
 // Polls the hosts on which pending decisions about replicas depend first, because the number of concurrent requests is
 // limited.
-void ControllerLoop::pollHosts(const HostIdSet& awaited, const HostIdSet& awaitedLater)
+void ControllerLoop::pollHosts(const HostIdSet& hostsToPoll, const HostIdSet& hostsToPollLater)
 {
     LoopTime::Section section(m_context.loopTime, LoopPart::Status);
     MonotonicTime now = m_context.now();
@@ -202,12 +203,12 @@
     });
     std::vector<std::string> silent;
     for (const auto& [id, contact] : m_contacts) {
-        if (contact.failures > 0 && !awaited.contains(id) && m_context.hosts.find(id))
+        if (contact.failures > 0 && !hostsToPoll.contains(id) && m_context.hosts.find(id))
             silent.push_back(id);
     }
-    pollLeastRecent({ awaited.begin(), awaited.end() }, statusPeriod);
+    pollLeastRecent({ hostsToPoll.begin(), hostsToPoll.end() }, statusPeriod);
     pollLeastRecent(std::move(silent), silentStatusPeriod);
-    pollLeastRecent({ awaitedLater.begin(), awaitedLater.end() }, deferredStatusPeriod);
+    pollLeastRecent({ hostsToPollLater.begin(), hostsToPollLater.end() }, deferredStatusPeriod);
     m_context.metrics.set("host_status_calls_in_flight", static_cast<double>(m_statusCalls));
 }
 
@@ -240,10 +241,10 @@
     auto answer = co_await m_context.pool.exchange(
         address, m_context.platform.statusRequest(hostId), statusTimeout, Step::Probe);
     auto* error = std::get_if<Error>(&answer);
-    bool isSilent = error && error->code != ErrorCode::Refused;
-    bool wasOwnPause = isSilent && m_context.pauses.since(askedAt, m_context.now()) > maxExcusedPause;
-    m_contacts[hostId].isRefused = error && !isSilent;
-    if (!isSilent)
+    bool isUnanswered = error && error->code != ErrorCode::Refused;
+    bool wasOwnPause = isUnanswered && m_context.pauses.since(askedAt, m_context.now()) > maxExcusedPause;
+    m_contacts[hostId].isRefused = error && !isUnanswered;
+    if (!isUnanswered)
         m_contacts[hostId].relayPeer.clear();
     else if (!wasOwnPause && m_relayedCalls < maxRelayedCalls) {
         ++m_relayedCalls;
@@ -304,34 +305,34 @@
     std::stable_partition(peers.begin(), peers.end(),
         [&](const std::string& peer) { return !m_contacts[hostId].peersFailed.contains(peer); });
     peers.resize(std::min(peers.size(), maxRelayPeers));
-    auto asked = std::make_shared<RelayedPoll>(m_context.io.get_executor(), peers.size());
-    asked->done.expires_after(relayTimeout);
+    auto poll = std::make_shared<RelayedPoll>(m_context.io.get_executor(), peers.size());
+    poll->done.expires_after(relayTimeout);
     for (const std::string& peer : peers)
-        asio::co_spawn(m_context.io, pollThroughPeer(peer, hostId, address, asked), asio::detached);
-    if (asked->unanswered > 0)
-        co_await asked->done.async_wait(asTuple);
-    if (asked->answer)
-        co_return *asked->answer;
+        asio::co_spawn(m_context.io, pollThroughPeer(peer, hostId, address, poll), asio::detached);
+    if (poll->unanswered > 0)
+        co_await poll->done.async_wait(asTuple);
+    if (poll->answer)
+        co_return *poll->answer;
     m_contacts[hostId].relayPeer.clear();
     co_return Error { ErrorCode::Unreachable, Step::Probe, hostId, "no peer can reach the host" };
 }
 
 asio::awaitable<void> ControllerLoop::pollThroughPeer(
-    std::string peer, std::string hostId, Address address, std::shared_ptr<RelayedPoll> asked)
+    std::string peer, std::string hostId, Address address, std::shared_ptr<RelayedPoll> poll)
 {
     auto answer = co_await m_peers.relay(peer, address, m_context.platform.statusRequest(hostId));
     Contact& contact = m_contacts[hostId];
     if (auto* response = std::get_if<HttpResponse>(&answer)) {
         contact.relayPeer = peer;
-        asked->answer = *response;
-        asked->unanswered = 0;
+        poll->answer = *response;
+        poll->unanswered = 0;
     } else {
         if (std::get<Error>(answer).code != ErrorCode::Malformed)
             contact.peersFailed.insert(peer);
-        asked->unanswered -= std::min<size_t>(1, asked->unanswered);
+        poll->unanswered -= std::min<size_t>(1, poll->unanswered);
     }
-    if (asked->unanswered == 0)
-        asked->done.cancel();
+    if (poll->unanswered == 0)
+        poll->done.cancel();
 }
 
 bool ControllerLoop::isUnreachableByAll(const Contact& contact) const
--- a/src/gateway/controllerloop.h
+++ b/src/gateway/controllerloop.h
@@ -56,7 +56,7 @@
     std::map<std::string, double, std::less<>> wantedReplicas(const ServiceSpec&) const;
     HostContact contact(std::string_view hostId) const;
     using HostIdSet = std::set<std::string, std::less<>>;
-    void pollHosts(const HostIdSet& awaited, const HostIdSet& awaitedLater);
+    void pollHosts(const HostIdSet& hostsToPoll, const HostIdSet& hostsToPollLater);
     void pollLeastRecent(std::vector<std::string> hostIds, Milliseconds period);
     asio::awaitable<void> pollStatus(std::string hostId, Address);
     void applyStatusResponse(const std::string& hostId, const Settled<HttpResponse>&, MonotonicTime asOf);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -132,8 +132,8 @@
 asio::awaitable<HttpResponse> Gateway::answerEntries(const HttpRequest& request)
 {
     HttpResponse response(http::status::not_found, 11);
-    auto question = m_context.platform.entriesQuery(toView(request.target()));
-    if (!question)
+    auto query = m_context.platform.entriesQuery(toView(request.target()));
+    if (!query)
         co_return response;
     std::vector<std::string> addresses = m_peers.callerAddresses({});
     if (isReady())
@@ -156,10 +156,10 @@
         m_context.log.write("config_unreadable", { { "problem", describe(*error) }, { "source", source } });
         return;
     }
-    auto& read = std::get<FleetConfig>(config);
-    if (m_context.routes && read.version <= m_context.routes->version())
+    auto& newConfig = std::get<FleetConfig>(config);
+    if (m_context.routes && newConfig.version <= m_context.routes->version())
         return;
-    m_context.routes = std::make_shared<const RouteTable>(std::move(read));
+    m_context.routes = std::make_shared<const RouteTable>(std::move(newConfig));
     m_context.configText = text;
     logConfig(m_context, source, configAge());
     retryHostsWithoutService();
@@ -167,13 +167,13 @@
 
 LogFollower::Handlers Gateway::configHandlers()
 {
-    auto take = [this](const LogRecord& record) {
+    auto applyRecord = [this](const LogRecord& record) {
         bool isConfig = record.isReadable && record.value && m_context.platform.isConfigKey(record.key);
         if (isConfig)
             adoptConfig(*record.value, "store");
         return isConfig;
     };
-    return { [] {}, take, [] {} };
+    return { [] {}, applyRecord, [] {} };
 }
 
 asio::awaitable<void> Gateway::runMaintenance()
@@ -245,9 +245,9 @@
 // so.
 std::optional<MonotonicTime> Gateway::configConfirmedAt() const
 {
-    MonotonicTime heardAt
+    MonotonicTime confirmedAt
         = std::max(m_configFollower.syncedAt().value_or(MonotonicTime {}), m_peers.configConfirmedAt());
-    return heardAt == MonotonicTime {} ? std::nullopt : std::optional(heardAt);
+    return confirmedAt == MonotonicTime {} ? std::nullopt : std::optional(confirmedAt);
 }
 
 // Zero if no version was reported yet.
@@ -276,27 +276,28 @@
 // refreshed its list. Only then are connections without a request closed.
 asio::awaitable<void> Gateway::stopGracefully()
 {
-    MonotonicTime begun = m_context.now();
-    MonotonicTime atLatest = begun + m_context.settings.stopGrace - stopMargin;
+    MonotonicTime stopRequestedAt = m_context.now();
+    MonotonicTime stopDeadline = stopRequestedAt + m_context.settings.stopGrace - stopMargin;
     co_await m_lease.release();
-    MonotonicTime callersGone = begun + m_context.settings.entriesLifetime * staleAnswerLifetimes + stopMargin;
-    while (m_context.now() < std::min(callersGone, atLatest))
+    MonotonicTime callersLeftAt
+        = stopRequestedAt + m_context.settings.entriesLifetime * staleAnswerLifetimes + stopMargin;
+    while (m_context.now() < std::min(callersLeftAt, stopDeadline))
         co_await sleepFor(maintenancePeriod);
     m_callers.stop();
-    while (m_context.now() < atLatest) {
-        for (const auto& weak : m_sessions) {
-            if (auto session = weak.lock())
+    while (m_context.now() < stopDeadline) {
+        for (const auto& weakSession : m_sessions) {
+            if (auto session = weakSession.lock())
                 session->closeIfIdle();
         }
         if (m_context.calls.empty())
             break;
         co_await sleepFor(maintenancePeriod);
     }
-    std::vector<std::shared_ptr<ActiveCall>> left(m_context.calls.begin(), m_context.calls.end());
-    for (const auto& call : left)
+    std::vector<std::shared_ptr<ActiveCall>> remaining(m_context.calls.begin(), m_context.calls.end());
+    for (const auto& call : remaining)
         call->cancel(CancelReason::NodeShutdown);
     co_await sleepFor(maintenancePeriod);
-    m_context.log.write("stopped", { { "cancelled_calls", left.size() } });
+    m_context.log.write("stopped", { { "cancelled_calls", remaining.size() } });
     m_context.log.flush();
     m_context.io.stop();
 }
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -39,11 +39,11 @@
 
 }
 
-Peers::Peers(GatewayContext& context, FillDigest fill, ApplyDigest take, ApplyConfig takeConfig)
+Peers::Peers(GatewayContext& context, FillDigest digestFiller, ApplyDigest digestHandler, ApplyConfig configHandler)
     : m_context(context)
-    , m_fillDigest(std::move(fill))
-    , m_applyDigest(std::move(take))
-    , m_applyConfig(std::move(takeConfig))
+    , m_fillDigest(std::move(digestFiller))
+    , m_applyDigest(std::move(digestHandler))
+    , m_applyConfig(std::move(configHandler))
     , m_listReaders(context.settings.peers.toString())
 {
     for (const Address& seed : context.settings.seedAddresses())
@@ -90,7 +90,7 @@
     std::vector<std::string> due;
     for (const auto& [address, peer] : m_peers) {
         bool isSlow = peer.failures > failuresUntilSlowRetry && now - peer.calledAt < slowRetryPeriod;
-        if (!peer.isCalling && !isSlow)
+        if (!peer.isCallInProgress && !isSlow)
             due.push_back(address);
     }
     // Peers that were called longest ago come first, so that none waits longer than the others. With a random choice,
@@ -105,7 +105,7 @@
 asio::awaitable<void> Peers::exchangeDigests(std::string address)
 {
     Peer& peer = m_peers[address];
-    peer.isCalling = true;
+    peer.isCallInProgress = true;
     peer.calledAt = m_context.now();
     HttpRequest request(http::verb::post, "/digest", 11);
     {
@@ -121,7 +121,7 @@
     auto found = m_peers.find(address);
     if (found == m_peers.end())
         co_return;
-    found->second.isCalling = false;
+    found->second.isCallInProgress = false;
     LoopTime::Section section(m_context.loopTime, LoopPart::Peers);
     auto* response = std::get_if<HttpResponse>(&answer);
     auto digest = response ? decodeDigest(response->body()) : std::nullopt;
@@ -190,12 +190,12 @@
         return { http::status::bad_request, 11 };
     }
     std::string zone = digest->zone;
-    std::string reader = digest->peers;
+    std::string receiver = digest->peers;
     addTransitDelay(*digest, {});
     applyDigest(std::move(*digest));
     HttpResponse response(http::status::ok, 11);
     response.set(http::field::content_type, "application/json");
-    response.body() = encode(ownDigest(reader, true));
+    response.body() = encode(ownDigest(receiver, true));
     countBytes("digest", zone, response.body().size());
     return response;
 }
@@ -358,15 +358,15 @@
 // Counted per zone because traffic between zones is slow and billed.
 void Peers::countBytes(const char* kind, std::string_view zone, size_t bytes)
 {
-    const char* where = zone == m_context.settings.zone ? "own" : "other";
-    m_context.metrics.count(fmt::format("peer_bytes_total{{kind=\"{}\",zone=\"{}\"}}", kind, where), bytes);
+    const char* zoneLabel = zone == m_context.settings.zone ? "own" : "other";
+    m_context.metrics.count(fmt::format("peer_bytes_total{{kind=\"{}\",zone=\"{}\"}}", kind, zoneLabel), bytes);
 }
 
 bool Peers::knowsNewerConfig() const { return m_catchUp.isBehind(configVersion()); }
 
 uint64_t Peers::configVersion() const { return m_context.routes ? m_context.routes->version() : 0; }
 
-PeerDigest Peers::ownDigest(std::string_view reader, bool isAnswer)
+PeerDigest Peers::ownDigest(std::string_view receiver, bool isAnswer)
 {
     PeerDigest digest;
     digest.name = m_context.settings.name;
@@ -378,7 +378,7 @@
     digest.isStopping = m_context.isStopping;
     digest.anyCallSeen = m_context.anyCallSeen;
     digest.configVersion = configVersion();
-    if (shouldIncludePeers(reader)) {
+    if (shouldIncludePeers(receiver)) {
         for (const auto& [address, peer] : m_peers) {
             if (isAlive(peer))
                 digest.knownPeers.push_back(address);
@@ -396,9 +396,9 @@
 // The addresses of all nodes are most of a digest in a large fleet and seldom change, so a new peer gets them at once
 // and other peers only in some digests. Together with omitting statuses from requests, this halved the traffic between
 // zones of sixty nodes.
-bool Peers::shouldIncludePeers(std::string_view reader)
+bool Peers::shouldIncludePeers(std::string_view receiver)
 {
-    auto peer = m_peers.find(reader);
+    auto peer = m_peers.find(receiver);
     if (peer == m_peers.end() || !isAlive(peer->second))
         return true;
     peer->second.digestsWithoutPeers = (peer->second.digestsWithoutPeers + 1) % digestsPerPeerList;
@@ -409,22 +409,22 @@
 {
     if (digest.peers == m_context.settings.peers.toString())
         return;
-    for (const std::string& known : digest.knownPeers) {
-        auto address = settle([&] { return Address::parse(known); });
+    for (const std::string& peerAddress : digest.knownPeers) {
+        auto address = settle([&] { return Address::parse(peerAddress); });
         if (auto* valid = std::get_if<Address>(&address))
             addPeer(*valid);
     }
     Peer& peer = m_peers[digest.peers];
     // A process never leaves the stopping state, so an earlier digest that arrives late must not clear it.
     digest.isStopping = digest.isStopping || (peer.digest.incarnation == digest.incarnation && peer.digest.isStopping);
-    bool isNews = !isAlive(peer) || peer.digest.incarnation != digest.incarnation
+    bool isStateChange = !isAlive(peer) || peer.digest.incarnation != digest.incarnation
         || peer.digest.isStopping != digest.isStopping;
     peer.lastDigestAt = m_context.now();
     peer.failures = 0;
     peer.digest = std::move(digest);
     m_catchUp.recordPeerVersion(
         peer.digest.peers, peer.digest.zone == m_context.settings.zone, peer.digest.configVersion, peer.lastDigestAt);
-    if (isNews)
+    if (isStateChange)
         m_context.log.write("peer",
             { { "peer", peer.digest.name }, { "stopping", peer.digest.isStopping },
                 { "config", peer.digest.configVersion } });
@@ -435,21 +435,21 @@
 std::vector<std::string> Peers::callerAddresses(std::string_view zone) const
 {
     std::vector<std::string> result;
-    std::vector<std::string> doubtful;
+    std::vector<std::string> unresponsive;
     for (const auto& [address, peer] : m_peers) {
         bool isOfZone = zone.empty() || peer.digest.zone == zone;
         if (!isAlive(peer) || !peer.digest.isReady || peer.digest.isStopping || !isOfZone)
             continue;
-        (peer.failures == 0 ? result : doubtful).push_back(peer.digest.callers);
+        (peer.failures == 0 ? result : unresponsive).push_back(peer.digest.callers);
     }
-    return result.empty() ? doubtful : result;
+    return result.empty() ? unresponsive : result;
 }
 
-bool Peers::isIncarnationAlive(std::string_view life) const
+bool Peers::isIncarnationAlive(std::string_view incarnation) const
 {
     return std::ranges::any_of(m_peers, [&](const auto& entry) {
         const PeerDigest& digest = entry.second.digest;
-        return isAlive(entry.second) && incarnationName(digest.name, digest.incarnation) == life;
+        return isAlive(entry.second) && incarnationName(digest.name, digest.incarnation) == incarnation;
     });
 }
 
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -37,10 +37,10 @@
     asio::awaitable<LogFollower::PeerReadResult> readHosts(uint64_t from, bool isStoreUnavailable);
     // Provides the records that other nodes request with readHosts().
     using HostRecordSource = std::function<std::optional<RecordBatch>(uint64_t from)>;
-    void setHostRecordSource(HostRecordSource feed) { m_hostRecordSource = std::move(feed); }
+    void setHostRecordSource(HostRecordSource source) { m_hostRecordSource = std::move(source); }
     // While the predicate is true, the store does not deliver configurations, so they are fetched from peers without
     // waiting for it.
-    void fetchConfigsWhile(std::function<bool()> holds) { m_fetchesConfigs = std::move(holds); }
+    void fetchConfigsWhile(std::function<bool()> predicate) { m_fetchesConfigs = std::move(predicate); }
     // Last time at which a node that reads the store for this one confirmed there which configuration is the newest.
     MonotonicTime configConfirmedAt() const { return m_configConfirmedAt; }
     // Whether a peer has a newer configuration than this node.
@@ -63,7 +63,7 @@
     std::vector<std::string> callerAddresses(std::string_view zone) const;
     size_t aliveCount() const;
     // Whether the given incarnation of a node, in the format of incarnationName(), recently sent a digest.
-    bool isIncarnationAlive(std::string_view life) const;
+    bool isIncarnationAlive(std::string_view incarnation) const;
     void addPeer(const Address&);
     // Visits the digests of live peers.
     template <typename Visit> void forEachAlive(Visit&& visit) const
@@ -81,7 +81,7 @@
         MonotonicTime lastDigestAt {};
         MonotonicTime calledAt {};
         int failures = 0;
-        bool isCalling = false; // A call to it is in progress.
+        bool isCallInProgress = false;
         int digestsWithoutPeers = 0; // Digests sent to it since the last one with the addresses of the other nodes.
     };
 
@@ -92,10 +92,10 @@
     std::vector<std::string> hostReadersToQuery(bool isStoreUnavailable) const;
     uint64_t configVersion() const;
     // Creates the digest for the peer with the given address.
-    PeerDigest ownDigest(std::string_view reader, bool isAnswer);
+    PeerDigest ownDigest(std::string_view receiver, bool isAnswer);
     void fetchNewerConfig();
     asio::awaitable<void> fetchConfig(std::string address);
-    bool shouldIncludePeers(std::string_view reader);
+    bool shouldIncludePeers(std::string_view receiver);
     void applyDigest(PeerDigest);
     asio::awaitable<void> exchangeDigests(std::string address);
     HttpResponse answerDigest(const HttpRequest&);
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -196,14 +196,14 @@
     co_return true;
 }
 
-void LogFollower::readFailed(const Error& problem, MonotonicTime askedAt)
+void LogFollower::readFailed(const Error& error, MonotonicTime askedAt)
 {
     auto waited = std::chrono::round<Milliseconds>(m_context.now() - askedAt);
     m_context.metrics.count(fmt::format("store_failures_total{{log=\"{}\"}}", toString(m_log)));
     m_context.log.write("store_read_failed",
         { { "log", toString(m_log) }, { "next", m_nextOffset }, { "waited_ms", waited.count() },
-            { "failures", m_reads.failures() + 1 }, { "problem", describe(problem) } });
-    m_health.recordFailure(problem);
+            { "failures", m_reads.failures() + 1 }, { "problem", describe(error) } });
+    m_health.recordFailure(error);
 }
 
 // Returns the records that changed something.
--- a/src/policy/bench_routing.cpp
+++ b/src/policy/bench_routing.cpp
@@ -210,25 +210,25 @@
 
         void firstToken(uint64_t id, double hitRatio)
         {
-            const InFlight& flight = m_inFlight[id];
-            double seconds = m_events.now() - flight.dispatched;
-            if (auto* router = std::get_if<ServiceRouter>(&m_nodes[flight.node]))
-                router->firstToken(replicaName(flight.replica), nanoseconds(seconds), m_events.time());
+            const InFlight& inFlight = m_inFlight[id];
+            double seconds = m_events.now() - inFlight.dispatched;
+            if (auto* router = std::get_if<ServiceRouter>(&m_nodes[inFlight.node]))
+                router->firstToken(replicaName(inFlight.replica), nanoseconds(seconds), m_events.time());
             if (!measured())
                 return;
             m_outcome.firstTokens.push_back(seconds);
             m_outcome.hitRatioSum += hitRatio;
-            m_outcome.sameZone += zoneName(flight.node) == zoneName(flight.replica);
+            m_outcome.sameZone += zoneName(inFlight.node) == zoneName(inFlight.replica);
         }
 
         void finished(uint64_t id)
         {
-            InFlight flight = m_inFlight[id];
+            InFlight inFlight = m_inFlight[id];
             m_inFlight.erase(id);
-            if (auto* router = std::get_if<ServiceRouter>(&m_nodes[flight.node]))
-                router->ended(replicaName(flight.replica), DispatchEnd::Finished, m_events.time());
-            if (auto* chooser = std::get_if<LeastOutstanding>(&m_nodes[flight.node]))
-                --chooser->inFlight[flight.replica];
+            if (auto* router = std::get_if<ServiceRouter>(&m_nodes[inFlight.node]))
+                router->ended(replicaName(inFlight.replica), DispatchEnd::Finished, m_events.time());
+            if (auto* chooser = std::get_if<LeastOutstanding>(&m_nodes[inFlight.node]))
+                --chooser->inFlight[inFlight.replica];
             if (measured())
                 ++m_outcome.finished;
         }
@@ -252,9 +252,9 @@
             std::vector<ReplicaSample> idle;
             for (uint32_t index = 0; index < replicaCount; ++index)
                 idle.push_back({ replicaName(index), zoneName(index), streamLimit, 0, 0, 0, EventQueue::timeAt(0) });
-            ServiceRouter made(settings);
-            made.setServing(std::move(idle));
-            return Chooser(std::move(made));
+            ServiceRouter serviceRouter(settings);
+            serviceRouter.setServing(std::move(idle));
+            return Chooser(std::move(serviceRouter));
         };
     }
 
@@ -322,7 +322,7 @@
 {
     constexpr uint32_t nodes = 320;
     constexpr uint32_t replicas = 12000;
-    constexpr uint32_t watchers = 8;
+    constexpr uint32_t watchersPerReplica = 8;
     constexpr uint32_t sampledNodes = 64; // One in five; each needs a pass over all pairs of nodes and replicas.
     std::vector<std::string> nodeNames;
     for (uint32_t index = 0; index < nodes; ++index)
@@ -332,10 +332,10 @@
         replicaNames.push_back(fmt::format("replica-{}", index));
     std::vector<double> sizes;
     double moved = 0;
-    std::vector<std::string> fewer(nodeNames.begin(), nodeNames.end() - 1);
+    std::vector<std::string> remainingNodeNames(nodeNames.begin(), nodeNames.end() - 1);
     for (uint32_t index = 0; index < sampledNodes; ++index) {
-        auto before = replicaSubset(nodeNames[index], nodeNames, replicaNames, watchers);
-        auto after = replicaSubset(nodeNames[index], fewer, replicaNames, watchers);
+        auto before = replicaSubset(nodeNames[index], nodeNames, replicaNames, watchersPerReplica);
+        auto after = replicaSubset(nodeNames[index], remainingNodeNames, replicaNames, watchersPerReplica);
         sizes.push_back(double(before.size()));
         moved += double(after.size() - before.size()) / double(before.size()) / sampledNodes;
     }
@@ -345,7 +345,7 @@
     BenchTable table { "subset",
         { "nodes", "replicas", "watchers each", "subset mean", "subset least", "subset most", "moved by one node" },
         {} };
-    table.rows.push_back({ fmt::format("{}", nodes), fmt::format("{}", replicas), fmt::format("{}", watchers),
+    table.rows.push_back({ fmt::format("{}", nodes), fmt::format("{}", replicas), fmt::format("{}", watchersPerReplica),
         fmt::format("{:.1f}", mean), fmt::format("{:.0f}", quantile(sizes, 0)),
         fmt::format("{:.0f}", quantile(sizes, 1)), fmt::format("{:.4f}", moved) });
     return table;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -39,29 +39,29 @@
     // Prefers hosts with this service's weights in memory, then hosts with no weights in memory.
     std::vector<std::string> pickHosts(const PlacementDomain& domain, uint32_t service, uint32_t count)
     {
-        std::vector<const FreeHost*> order;
+        std::vector<const FreeHost*> candidates;
         for (const auto& host : domain.freeHosts)
-            order.push_back(&host);
+            candidates.push_back(&host);
         auto rank = [&](const FreeHost* host) {
             return host->warmFor == service ? 0 : host->warmFor == noService ? 1 : 2;
         };
-        std::stable_sort(order.begin(), order.end(), [&](auto* a, auto* b) { return rank(a) < rank(b); });
+        std::stable_sort(candidates.begin(), candidates.end(), [&](auto* a, auto* b) { return rank(a) < rank(b); });
         std::vector<std::string> hosts;
         for (uint32_t i = 0; i < count; ++i)
-            hosts.push_back(order[i]->host);
+            hosts.push_back(candidates[i]->host);
         return hosts;
     }
 
     double downtimeCost(
         const PlacementView& view, const PlacementDomain& domain, uint32_t service, std::span<const uint32_t> byZone)
     {
-        const auto& wanted = view.services[service];
-        double replicas = std::max(1U, wanted.wanted);
+        const auto& spec = view.services[service];
+        double replicas = std::max(1U, spec.wanted);
         double lostWithDomain = (replicaCount(domain, service) + 1) / replicas;
         double lostWithZone = (byZone[domain.zone] + 1) / replicas;
-        uint32_t warm = std::min(warmHosts(domain, service), wanted.hostsPerReplica);
-        double cold = 1.0 - static_cast<double>(warm) / wanted.hostsPerReplica;
-        bool takesLastSpare = domain.freeHosts.size() == wanted.hostsPerReplica;
+        uint32_t warm = std::min(warmHosts(domain, service), spec.hostsPerReplica);
+        double cold = 1.0 - static_cast<double>(warm) / spec.hostsPerReplica;
+        bool takesLastSpare = domain.freeHosts.size() == spec.hostsPerReplica;
         return domainLossCost * lostWithDomain + zoneImbalanceCost * lostWithZone + coldLoadCost * cold
             + (takesLastSpare ? lastSpareCost : 0);
     }
@@ -85,17 +85,17 @@
 
     CheapestDomains cheapestDomains(const PlacementView& view, uint32_t service)
     {
-        const auto& wanted = view.services[service];
+        const auto& spec = view.services[service];
         auto byZone = replicasByZone(view, service);
         CheapestDomains found;
         double bestCost = std::numeric_limits<double>::infinity();
         double secondCost = bestCost;
         for (uint32_t index = 0; index < view.domains.size(); ++index) {
             const auto& domain = view.domains[index];
-            if (domain.freeHosts.size() < wanted.hostsPerReplica)
+            if (domain.freeHosts.size() < spec.hostsPerReplica)
                 continue;
-            double cost = wanted.groupDowntimeWeight * downtimeCost(view, domain, service, byZone)
-                + wanted.strandedWeight * strandedCost(view, domain, service);
+            double cost = spec.groupDowntimeWeight * downtimeCost(view, domain, service, byZone)
+                + spec.strandedWeight * strandedCost(view, domain, service);
             if (cost < bestCost) {
                 secondCost = std::exchange(bestCost, cost);
                 found.second = std::exchange(found.best, index);
@@ -116,9 +116,9 @@
 
 uint32_t movesAtOnce(const PlacementService& service, bool recoveriesWait)
 {
-    constexpr uint32_t movesWhileLoadsWait = 1;
-    constexpr uint32_t mostMoves = 4;
-    return recoveriesWait && recoveryLoadsFirst(service) ? movesWhileLoadsWait : mostMoves;
+    constexpr uint32_t maxMovesWhileLoadsWait = 1;
+    constexpr uint32_t maxMoves = 4;
+    return recoveriesWait && recoveryLoadsFirst(service) ? maxMovesWhileLoadsWait : maxMoves;
 }
 
 bool recoveryLoadsFirst(const PlacementService& service)
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -19,11 +19,11 @@
     using namespace std::chrono_literals;
 
     constexpr MonotonicTime start { 1h };
-    constexpr MonotonicTime farOff { 2h };
+    constexpr MonotonicTime distantDeadline { 2h };
     const std::vector<std::string> teamNames { "a", "b", "c" };
 
-    QueueRequest request(
-        Ticket ticket, std::string_view team, MonotonicTime deadline = farOff, Priority priority = Priority::Normal)
+    QueueRequest request(Ticket ticket, std::string_view team, MonotonicTime deadline = distantDeadline,
+        Priority priority = Priority::Normal)
     {
         return { ticket, team, priority, deadline };
     }
@@ -35,20 +35,20 @@
             queue.configure(queueLimit, teams);
             queue.setCapacity(streams, start, random);
             for (uint32_t stream = 0; stream < streams; ++stream)
-                queue.arrive(request(++last, "busy"), start, random);
+                queue.arrive(request(++lastTicket, "busy"), start, random);
             queue.release("busy", 1s, start, random);
-            queue.arrive(request(++last, "busy"), start, random);
+            queue.arrive(request(++lastTicket, "busy"), start, random);
         }
 
         std::optional<AdmissionOutcome> arrive(
-            std::string_view team, MonotonicTime deadline = farOff, Priority priority = Priority::Normal)
+            std::string_view team, MonotonicTime deadline = distantDeadline, Priority priority = Priority::Normal)
         {
-            return queue.arrive(request(++last, team, deadline, priority), start, random);
+            return queue.arrive(request(++lastTicket, team, deadline, priority), start, random);
         }
 
         Random random { 1 };
         FairQueue queue;
-        Ticket last = 0;
+        Ticket lastTicket = 0;
     };
 
     // Runs the waiting requests on one stream and returns their teams in the order of their starts.
@@ -91,16 +91,16 @@
     queue.setCapacity(*rc::gen::inRange(1U, 5U), start, random);
     std::map<std::string, double> started;
     std::vector<std::string> running;
-    bool allWait = true;
-    while (allWait) {
+    bool allWaiting = true;
+    while (allWaiting) {
         for (const QueueDecision& decision : queue.takeDecisions()) {
             const std::string& team = teamOf[decision.ticket];
             running.push_back(team);
-            allWait = allWait && ++started[team] < perTeam;
+            allWaiting = allWaiting && ++started[team] < perTeam;
             for (const TeamText& left : teams) {
                 for (const TeamText& right : teams) {
-                    double apart = started[left.name] / left.share - started[right.name] / right.share;
-                    RC_ASSERT(!allWait || std::abs(apart) <= 1 / left.share + 1 / right.share + 1e-9);
+                    double difference = started[left.name] / left.share - started[right.name] / right.share;
+                    RC_ASSERT(!allWaiting || std::abs(difference) <= 1 / left.share + 1 / right.share + 1e-9);
                 }
             }
         }
@@ -156,32 +156,32 @@
     FairQueue queue;
     std::vector<TeamText> teams { { "a", 1, teamLimit }, { "b", 3, 0 } };
     queue.configure(queueLimit, teams);
-    std::map<Ticket, std::string> asked;
+    std::map<Ticket, std::string> teamOf;
     std::set<Ticket> waiting;
     std::map<std::string, uint32_t> running;
-    uint32_t othersRunning = 0;
+    uint32_t remoteRunning = 0;
     MonotonicTime now = start;
-    auto decided = [&](Ticket ticket, const AdmissionOutcome& outcome) {
+    auto checkDecision = [&](Ticket ticket, const AdmissionOutcome& outcome) {
         if (outcome.verdict != AdmissionVerdict::Admitted) {
             RC_ASSERT(outcome.retryAfter > 0ms);
             return;
         }
-        const std::string& team = asked[ticket];
+        const std::string& team = teamOf[ticket];
         ++running[team];
         RC_ASSERT(queue.running() <= queue.capacity());
-        RC_ASSERT(team != "a" || running[team] + othersRunning <= teamLimit);
+        RC_ASSERT(team != "a" || running[team] + remoteRunning <= teamLimit);
     };
     auto steps = *rc::gen::container<std::vector<uint8_t>>(rc::gen::inRange<uint8_t>(0, 9));
     for (uint8_t step : steps) {
         now += Milliseconds(random() % 500);
         const std::string& team = teamNames[random() % teamNames.size()];
         if (step < 4) {
-            Ticket ticket = asked.size() + 1;
-            asked[ticket] = team;
+            Ticket ticket = teamOf.size() + 1;
+            teamOf[ticket] = team;
             auto deadline = now + Milliseconds(random() % 8000);
-            auto atOnce = queue.arrive(request(ticket, team, deadline, Priority(random() % 3)), now, random);
-            if (atOnce)
-                decided(ticket, *atOnce);
+            auto immediateOutcome = queue.arrive(request(ticket, team, deadline, Priority(random() % 3)), now, random);
+            if (immediateOutcome)
+                checkDecision(ticket, *immediateOutcome);
             else
                 waiting.insert(ticket);
         } else if (step < 7 && running[team]) {
@@ -190,13 +190,13 @@
         } else if (step == 7) {
             queue.setCapacity(static_cast<uint32_t>(random() % 8), now, random);
         } else {
-            othersRunning = static_cast<uint32_t>(random() % 6);
-            std::vector<TeamUsage> others { { "s", "a", othersRunning, static_cast<uint32_t>(random() % 3) } };
+            remoteRunning = static_cast<uint32_t>(random() % 6);
+            std::vector<TeamUsage> others { { "s", "a", remoteRunning, static_cast<uint32_t>(random() % 3) } };
             queue.setRemoteUsage(others, now);
         }
         for (const QueueDecision& decision : queue.takeDecisions()) {
             RC_ASSERT(waiting.erase(decision.ticket) == 1U);
-            decided(decision.ticket, decision.outcome);
+            checkDecision(decision.ticket, decision.outcome);
         }
         RC_ASSERT(queue.waiting() == waiting.size());
         RC_ASSERT(queue.waiting() <= queueLimit);
@@ -261,17 +261,18 @@
 TEST(FairQueue, SpreadsRetryTimesAndDelaysThemWithTheNumberOfRefusals)
 {
     BusyQueue busy(4, {}, 8);
-    std::vector<Milliseconds> told;
+    std::vector<Milliseconds> retryDelays;
     for (int i = 0; i < 60; ++i) {
         if (auto outcome = busy.arrive("a"))
-            told.push_back(outcome->retryAfter);
+            retryDelays.push_back(outcome->retryAfter);
     }
-    ASSERT_GT(told.size(), 40U);
-    std::set<Milliseconds> different(told.begin(), told.end());
-    EXPECT_GT(different.size(), told.size() * 9 / 10);
-    auto sum = [&](size_t from) { return std::accumulate(&told[from], &told[from] + 10, Milliseconds(0)); };
-    EXPECT_GT(2 * sum(told.size() - 10), 3 * sum(0));
-    EXPECT_LE(*std::max_element(told.begin(), told.end()), 38s);
+    ASSERT_GT(retryDelays.size(), 40U);
+    std::set<Milliseconds> distinctDelays(retryDelays.begin(), retryDelays.end());
+    EXPECT_GT(distinctDelays.size(), retryDelays.size() * 9 / 10);
+    auto sum
+        = [&](size_t from) { return std::accumulate(&retryDelays[from], &retryDelays[from] + 10, Milliseconds(0)); };
+    EXPECT_GT(2 * sum(retryDelays.size() - 10), 3 * sum(0));
+    EXPECT_LE(*std::max_element(retryDelays.begin(), retryDelays.end()), 38s);
 }
 
 TEST(FairQueue, AFloodDisplacesOnlyItsOwnTeam)
@@ -284,7 +285,7 @@
     auto decisions = busy.queue.takeDecisions();
     ASSERT_EQ(decisions.size(), 1U);
     EXPECT_EQ(decisions[0].outcome.verdict, AdmissionVerdict::QueueFull);
-    Ticket waitingA = busy.last;
+    Ticket waitingA = busy.lastTicket;
     busy.queue.release("busy", 1s, start, busy.random);
     busy.queue.release("busy", 1s, start, busy.random);
     decisions = busy.queue.takeDecisions();
@@ -299,7 +300,7 @@
     busy.arrive("a", start + 800s, Priority::Normal);
     busy.arrive("a", start + 700s, Priority::Normal);
     busy.arrive("a", start + 999s, Priority::High);
-    Ticket low = busy.last - 3;
+    Ticket lowTicket = busy.lastTicket - 3;
     std::vector<Ticket> order;
     busy.queue.release("busy", 1s, start, busy.random);
     for (int i = 0; i < 4; ++i) {
@@ -307,7 +308,7 @@
             order.push_back(decision.ticket);
         busy.queue.release("a", 1s, start, busy.random);
     }
-    EXPECT_EQ(order, (std::vector<Ticket> { low + 3, low + 2, low + 1, low }));
+    EXPECT_EQ(order, (std::vector<Ticket> { lowTicket + 3, lowTicket + 2, lowTicket + 1, lowTicket }));
 }
 
 TEST(FairQueue, ReportsTheTeamLimitAsTheReason)
@@ -347,13 +348,13 @@
     auto decisions = busy.queue.takeDecisions();
     ASSERT_EQ(decisions.size(), 1U);
     EXPECT_EQ(decisions[0].outcome.verdict, AdmissionVerdict::WouldMissDeadline);
-    auto late = busy.queue.arrive(request(++busy.last, "a"), start + 7s, busy.random);
-    ASSERT_TRUE(late);
-    EXPECT_GT(late->retryAfter, 0ms);
+    auto outcomeDuringOutage = busy.queue.arrive(request(++busy.lastTicket, "a"), start + 7s, busy.random);
+    ASSERT_TRUE(outcomeDuringOutage);
+    EXPECT_GT(outcomeDuringOutage->retryAfter, 0ms);
     busy.queue.setCapacity(3, start + 8s, busy.random);
-    auto back = busy.queue.arrive(request(++busy.last, "a"), start + 8s, busy.random);
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->verdict, AdmissionVerdict::Admitted);
+    auto outcomeAfterOutage = busy.queue.arrive(request(++busy.lastTicket, "a"), start + 8s, busy.random);
+    ASSERT_TRUE(outcomeAfterOutage);
+    EXPECT_EQ(outcomeAfterOutage->verdict, AdmissionVerdict::Admitted);
 }
 
 RC_GTEST_PROP(CapacityShare, IsAtLeastAnEvenShareAndOtherwiseWithinTheFreeStreams, ())
@@ -363,9 +364,9 @@
     uint32_t own = *rc::gen::inRange(0U, 1200U);
     uint32_t nodes = *rc::gen::inRange(1U, 10U);
     uint32_t share = capacityShare(streams, others, own, nodes);
-    uint32_t evenPart = (streams + nodes - 1) / nodes;
-    RC_ASSERT(share >= evenPart);
-    RC_ASSERT(share == evenPart || share + others <= streams);
+    uint32_t evenShare = (streams + nodes - 1) / nodes;
+    RC_ASSERT(share >= evenShare);
+    RC_ASSERT(share == evenShare || share + others <= streams);
     RC_ASSERT(share >= std::min(own, streams - std::min(streams, others)));
     RC_ASSERT(capacityShare(streams, 0, own, 1) == streams);
 }
@@ -378,16 +379,16 @@
     Admission admission;
     admission.setCapacity("s", capacity, monotonicNow());
     std::atomic<uint32_t> running { 0 };
-    std::atomic<uint32_t> most { 0 };
+    std::atomic<uint32_t> maxRunning { 0 };
     std::atomic<int> admitted { 0 };
-    auto work = [&](const std::string& team) {
+    auto runRequests = [&](const std::string& team) {
         for (int i = 0; i < perThread; ++i) {
             auto outcome = admission.admit({ "s", team, Priority::Normal, monotonicNow() + 1h });
             if (outcome.verdict != AdmissionVerdict::Admitted)
                 continue;
             uint32_t now = ++running;
-            uint32_t seen = most;
-            while (seen < now && !most.compare_exchange_weak(seen, now)) { }
+            uint32_t seen = maxRunning;
+            while (seen < now && !maxRunning.compare_exchange_weak(seen, now)) { }
             std::this_thread::yield();
             --running;
             ++admitted;
@@ -397,10 +398,10 @@
     std::vector<std::thread> threads;
     threads.reserve(8);
     for (int i = 0; i < 8; ++i)
-        threads.emplace_back(work, teamNames[static_cast<size_t>(i) % teamNames.size()]);
+        threads.emplace_back(runRequests, teamNames[static_cast<size_t>(i) % teamNames.size()]);
     for (std::thread& thread : threads)
         thread.join();
-    EXPECT_LE(most, capacity);
+    EXPECT_LE(maxRunning, capacity);
     EXPECT_EQ(admitted, 8 * perThread);
     EXPECT_TRUE(admission.localUsage().empty());
 }
--- a/tests/policy/retrybudget_test.cpp
+++ b/tests/policy/retrybudget_test.cpp
@@ -31,17 +31,17 @@
 {
     RetryBudget budget;
     MonotonicTime now = start;
-    double tries = 0;
+    double firstAttempts = 0;
     double retries = 0;
-    for (auto [first, pause] : steps) {
-        now += Milliseconds(pause);
+    for (auto [first, elapsedMs] : steps) {
+        now += Milliseconds(elapsedMs);
         if (first) {
             budget.recordFirstAttempt("s", now);
-            tries += 1;
+            firstAttempts += 1;
         } else if (budget.takeRetry("s", now)) {
             retries += 1;
         }
-        RC_ASSERT(retries <= 3 + 0.05 * tries + 0.1 * toSeconds(now - start) + 1e-6);
+        RC_ASSERT(retries <= 3 + 0.05 * firstAttempts + 0.1 * toSeconds(now - start) + 1e-6);
     }
 }
 
@@ -49,19 +49,19 @@
 TEST(RetryBudget, EarnsLessWhileItStaysEmptyAndRecovers)
 {
     RetryBudget budget;
-    auto retriesOf = [&budget](int tries, int wishesEach) {
+    auto countRetries = [&budget](int firstAttempts, int retriesPerAttempt) {
         int retries = 0;
-        for (int i = 0; i < tries; ++i) {
+        for (int i = 0; i < firstAttempts; ++i) {
             budget.recordFirstAttempt("s", start);
-            for (int wish = 0; wish < wishesEach; ++wish)
+            for (int attempt = 0; attempt < retriesPerAttempt; ++attempt)
                 retries += budget.takeRetry("s", start);
         }
         return retries;
     };
-    retriesOf(100, 1);
-    EXPECT_LE(retriesOf(1000, 1), 10);
-    retriesOf(3000, 0);
-    EXPECT_GE(retriesOf(40, 1), 4);
+    countRetries(100, 1);
+    EXPECT_LE(countRetries(1000, 1), 10);
+    countRetries(3000, 0);
+    EXPECT_GE(countRetries(40, 1), 4);
 }
 
 } // namespace Kumquatpick
--- a/tests/policy/suspicion_test.cpp
+++ b/tests/policy/suspicion_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr MonotonicTime start { std::chrono::hours(1) };
-    constexpr uint64_t poison = 99;
+    constexpr uint64_t crashingRequest = 99;
 
     std::vector<SuspicionCount> sorted(std::vector<SuspicionCount> counts)
     {
@@ -20,7 +20,7 @@
         return counts;
     }
 
-    bool same(const SuspicionCount& left, const SuspicionCount& right)
+    bool isEqual(const SuspicionCount& left, const SuspicionCount& right)
     {
         return left.fingerprint == right.fingerprint && left.observer == right.observer && left.deaths == right.deaths
             && left.clearedDeaths == right.clearedDeaths;
@@ -35,54 +35,54 @@
     uint32_t deaths = 0;
     auto steps = *rc::gen::container<std::vector<uint8_t>>(rc::gen::inRange<uint8_t>(0, 5));
     MonotonicTime now = start;
-    std::vector<std::string> poisoned;
+    std::vector<std::string> runningReplicas;
     for (uint8_t step : steps) {
         now += Milliseconds(100);
         std::string replica = "r" + std::to_string(*rc::gen::inRange(0, 4));
-        uint64_t innocent = *rc::gen::inRange<uint64_t>(0, 8);
-        if (step == 0 && state.verdict(poison, now) == SuspicionVerdict::Clear) {
+        uint64_t otherRequest = *rc::gen::inRange<uint64_t>(0, 8);
+        if (step == 0 && state.verdict(crashingRequest, now) == SuspicionVerdict::Clear) {
             RC_ASSERT(deaths < SuspicionSettings {}.stopAfterDeaths);
             // Before the first death several copies may run at once; after it only one.
-            RC_ASSERT(!deaths || poisoned.empty());
-            state.dispatched(poison, replica, now);
-            poisoned.push_back(replica);
-        } else if (step == 1 && state.verdict(innocent, now) == SuspicionVerdict::Clear) {
-            state.dispatched(innocent, replica, now);
+            RC_ASSERT(!deaths || runningReplicas.empty());
+            state.dispatched(crashingRequest, replica, now);
+            runningReplicas.push_back(replica);
+        } else if (step == 1 && state.verdict(otherRequest, now) == SuspicionVerdict::Clear) {
+            state.dispatched(otherRequest, replica, now);
         } else if (step == 2) {
-            state.finished(innocent, replica, now);
-        } else if (!poisoned.empty()) {
-            std::string dead = poisoned.back();
+            state.finished(otherRequest, replica, now);
+        } else if (!runningReplicas.empty()) {
+            std::string dead = runningReplicas.back();
             state.replicaDied(dead, now);
-            std::erase(poisoned, dead);
+            std::erase(runningReplicas, dead);
             ++deaths;
-            RC_ASSERT(state.deaths(poison, now) >= std::min(deaths, SuspicionSettings {}.stopAfterDeaths));
+            RC_ASSERT(state.deaths(crashingRequest, now) >= std::min(deaths, SuspicionSettings {}.stopAfterDeaths));
         }
     }
     if (deaths >= SuspicionSettings {}.stopAfterDeaths)
-        RC_ASSERT(state.verdict(poison, now) == SuspicionVerdict::Stopped);
+        RC_ASSERT(state.verdict(crashingRequest, now) == SuspicionVerdict::Stopped);
 }
 
 // Gossip may arrive in any order, repeated and in parts; the resulting counts must be the same.
-RC_GTEST_PROP(
-    Suspicion, MergesCommuteAndRepeat, (const std::vector<std::tuple<uint8_t, uint8_t, uint8_t, uint8_t>>& raw))
+RC_GTEST_PROP(Suspicion, MergeIsCommutativeAndIdempotent,
+    (const std::vector<std::tuple<uint8_t, uint8_t, uint8_t, uint8_t>>& raw))
 {
     std::vector<SuspicionCount> counts;
     counts.reserve(raw.size());
-    for (auto [fingerprint, observer, deaths, forgiven] : raw)
-        counts.push_back({ fingerprint % 4U, 2U + observer % 3U, deaths % 5U, forgiven % 5U });
+    for (auto [fingerprint, observer, deaths, clearedDeaths] : raw)
+        counts.push_back({ fingerprint % 4U, 2U + observer % 3U, deaths % 5U, clearedDeaths % 5U });
     SuspicionState inOrder(1);
     inOrder.merge(counts, start);
-    auto mixed = counts;
+    auto shuffled = counts;
     Random random(*rc::gen::arbitrary<uint64_t>());
-    std::shuffle(mixed.begin(), mixed.end(), random);
+    std::shuffle(shuffled.begin(), shuffled.end(), random);
     SuspicionState other(1);
     other.merge(counts, start);
-    other.merge(mixed, start);
+    other.merge(shuffled, start);
     for (uint64_t fingerprint = 0; fingerprint < 4; ++fingerprint)
         RC_ASSERT(inOrder.deaths(fingerprint, start) == other.deaths(fingerprint, start));
     auto left = sorted(inOrder.counts());
     auto right = sorted(other.counts());
-    RC_ASSERT(std::equal(left.begin(), left.end(), right.begin(), right.end(), same));
+    RC_ASSERT(std::equal(left.begin(), left.end(), right.begin(), right.end(), isEqual));
 }
 
 TEST(Suspicion, DeathsObservedByDifferentNodesAddUp)
@@ -90,25 +90,25 @@
     SuspicionState first(1);
     SuspicionState second(2);
     SuspicionState fresh(3);
-    first.dispatched(poison, "a", start);
+    first.dispatched(crashingRequest, "a", start);
     first.replicaDied("a", start);
-    second.dispatched(poison, "b", start);
+    second.dispatched(crashingRequest, "b", start);
     second.replicaDied("b", start);
     second.merge(first.counts(), start);
-    second.dispatched(poison, "c", start);
+    second.dispatched(crashingRequest, "c", start);
     second.replicaDied("c", start);
-    EXPECT_EQ(second.verdict(poison, start), SuspicionVerdict::Stopped);
-    EXPECT_GT(second.retryAfter(poison, start), Milliseconds(0));
+    EXPECT_EQ(second.verdict(crashingRequest, start), SuspicionVerdict::Stopped);
+    EXPECT_GT(second.retryAfter(crashingRequest, start), Milliseconds(0));
     // A node that starts later gets all counts from the second node, even if the first has left.
     fresh.merge(second.counts(), start);
-    EXPECT_EQ(fresh.verdict(poison, start), SuspicionVerdict::Stopped);
+    EXPECT_EQ(fresh.verdict(crashingRequest, start), SuspicionVerdict::Stopped);
     // After an hour one run is allowed; a death during that run stops the request again.
     auto later = start + SuspicionSettings {}.stopDuration;
-    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Clear);
-    fresh.dispatched(poison, "d", later);
-    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::AlreadyRunning);
+    EXPECT_EQ(fresh.verdict(crashingRequest, later), SuspicionVerdict::Clear);
+    fresh.dispatched(crashingRequest, "d", later);
+    EXPECT_EQ(fresh.verdict(crashingRequest, later), SuspicionVerdict::AlreadyRunning);
     fresh.replicaDied("d", later);
-    EXPECT_EQ(fresh.verdict(poison, later), SuspicionVerdict::Stopped);
+    EXPECT_EQ(fresh.verdict(crashingRequest, later), SuspicionVerdict::Stopped);
 }
 
 // Guards against counting the death of one server once per node when several nodes run the same request on it.
@@ -182,14 +182,14 @@
 TEST(Suspicion, MemoryIsBoundedAndStoppedRequestsAreKept)
 {
     SuspicionState state(1);
-    std::vector<SuspicionCount> stopped { { poison, 2, SuspicionSettings {}.stopAfterDeaths } };
+    std::vector<SuspicionCount> stopped { { crashingRequest, 2, SuspicionSettings {}.stopAfterDeaths } };
     state.merge(stopped, start);
     for (uint64_t fingerprint = 1000; fingerprint < 1000 + 2 * SuspicionState::maxSuspects; ++fingerprint) {
-        std::vector<SuspicionCount> once { { fingerprint, 2, 1 } };
-        state.merge(once, start + Milliseconds(fingerprint));
+        std::vector<SuspicionCount> singleDeath { { fingerprint, 2, 1 } };
+        state.merge(singleDeath, start + Milliseconds(fingerprint));
     }
     EXPECT_LE(state.suspects(), SuspicionState::maxSuspects);
-    EXPECT_EQ(state.verdict(poison, start + Milliseconds(20000)), SuspicionVerdict::Stopped);
+    EXPECT_EQ(state.verdict(crashingRequest, start + Milliseconds(20000)), SuspicionVerdict::Stopped);
     EXPECT_LE(state.counts().size(), SuspicionState::maxGossipCounts);
 }
 
