--- a/src/fleet/ordercounts.cpp
+++ b/src/fleet/ordercounts.cpp
@@ -4,10 +4,10 @@
 
 void OrderCounts::beginOrder(const HostOrder& order, const HostTable& hosts)
 {
-    auto orders = known(hosts, order.hostId);
+    auto orderCount = currentCount(hosts, order.hostId);
     auto member = isMember(order, hosts);
     Count& count = m_counts[order.hostId];
-    count.beforeOrder = orders;
+    count.beforeOrder = orderCount;
     count.wasMember = member;
 }
 
@@ -15,7 +15,7 @@
 std::optional<bool> OrderCounts::isMember(const HostOrder& order, const HostTable& hosts) const
 {
     const Host* host = hosts.find(order.hostId);
-    if (host && host->status.ordersAccepted && isReported(hosts, order.hostId))
+    if (host && host->status.ordersAccepted && hasReportSinceLastOrder(hosts, order.hostId))
         return host->status.membership && host->status.membership->isOf(order.replica, order.epoch);
     auto found = m_counts.find(order.hostId);
     if (found != m_counts.end() && found->second.joinedEpoch)
@@ -29,14 +29,14 @@
     count.endedAt = now;
     // A host counts the orders that it starts. A leave completes at once, so its answer is the same as for a leave that
     // had nothing to do.
-    std::optional<bool> hasBegun;
+    std::optional<bool> hasStarted;
     if (result == OrderResult::Accepted)
-        hasBegun = true;
+        hasStarted = true;
     else if (result == OrderResult::Holds)
-        hasBegun = order.kind == OrderKind::Leave ? count.wasMember : std::optional(false);
+        hasStarted = order.kind == OrderKind::Leave ? count.wasMember : std::optional(false);
     count.afterOrder.reset();
-    if (hasBegun && count.beforeOrder)
-        count.afterOrder = *count.beforeOrder + (*hasBegun ? 1 : 0);
+    if (hasStarted && count.beforeOrder)
+        count.afterOrder = *count.beforeOrder + (*hasStarted ? 1 : 0);
     count.joinedEpoch.reset();
     if (order.kind == OrderKind::Join && result == OrderResult::Accepted)
         count.joinedEpoch = order.epoch;
@@ -49,7 +49,7 @@
 
 // The count is only useful together with the host's status at that count. The list provides a status without a count,
 // and it may be seconds old.
-std::optional<uint64_t> OrderCounts::known(const HostTable& hosts, std::string_view hostId) const
+std::optional<uint64_t> OrderCounts::currentCount(const HostTable& hosts, std::string_view hostId) const
 {
     const Host* host = hosts.find(hostId);
     if (!host)
@@ -62,12 +62,12 @@
         return 0;
     if (!host->status.ordersAccepted)
         return std::nullopt;
-    if (isReported(hosts, hostId))
+    if (hasReportSinceLastOrder(hosts, hostId))
         return hosts.ordersAccepted(hostId);
     return found == m_counts.end() ? std::nullopt : found->second.afterOrder;
 }
 
-bool OrderCounts::isReported(const HostTable& hosts, std::string_view hostId) const
+bool OrderCounts::hasReportSinceLastOrder(const HostTable& hosts, std::string_view hostId) const
 {
     auto reportedAt = hosts.reportedAt(hostId);
     auto found = m_counts.find(hostId);
--- a/src/fleet/ordercounts.h
+++ b/src/fleet/ordercounts.h
@@ -12,9 +12,9 @@
 
 namespace Kumquatpick {
 
-// The number of orders that each host has accepted, as known to the controller that sends them: from the host's reports
-// and from the answers to later orders. A join carries this number, and a host refuses it if it has accepted any other
-// order meanwhile, delayed or from another controller. A wrong number costs one refused join and one report.
+// The controller's count of the orders that each host has accepted, from the host's reports and from the answers to
+// later orders. A join carries this count, and a host refuses it if it has accepted any other order in the meantime,
+// such as a delayed one or one from another controller. A wrong count costs one refused join and one report.
 //
 // Reports lag by about 200 ms; without the answers, each move of a host would wait that long. Not thread-safe.
 class OrderCounts {
@@ -24,9 +24,9 @@
     void removeUnlisted(const HostTable&);
 
     // nullopt if a new report is needed, or if the host's current status is not from its own report.
-    std::optional<uint64_t> known(const HostTable&, std::string_view hostId) const;
+    std::optional<uint64_t> currentCount(const HostTable&, std::string_view hostId) const;
     // Whether the host's latest report is newer than the end of the last order to it.
-    bool isReported(const HostTable&, std::string_view hostId) const;
+    bool hasReportSinceLastOrder(const HostTable&, std::string_view hostId) const;
 
 private:
     struct Count {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-    // A leaving host may still be sent work for two seconds.
+    // Must be below two seconds, for which a leaving host may still get work.
     constexpr Milliseconds maxHostLongPoll { 1000 };
     // Hosts write continuously; one read returns all records written in this interval.
     constexpr Milliseconds hostReadPause { 400 };
 
-    constexpr int ticksPerSecond = 20; // In units of maintenancePeriod; tasks that run once a second.
-    // A node whose event loop is blocked for longer responds too late to everything; each such pause is logged.
+    constexpr int ticksPerSecond = 20; // Maintenance ticks per second; some tasks run only once a second.
+    // A longer pause of the event loop delays all responses too much. Each such pause is logged.
     constexpr Milliseconds longPause { 200 };
 
     // Callers use an outdated list of nodes for up to three times its lifetime; by then their connections have moved to
@@ -48,16 +48,16 @@
     , m_lease(m_context, m_health, m_peers)
     , m_controller(m_context, m_lease, m_peers)
     , m_configFollower(m_context, m_health, LogName::OperatorsConfig,
-          { LogReads::forMaxDelay(settings.configWithin), Milliseconds(0) }, configHandlers())
-    , m_hostFollower(
-          m_context, m_health, LogName::BackendServers, { LogReads(maxHostLongPoll), hostReadPause }, hostHandlers())
+          { LogReadTiming::forMaxDelay(settings.configWithin), Milliseconds(0) }, configHandlers())
+    , m_hostFollower(m_context, m_health, LogName::BackendServers, { LogReadTiming(maxHostLongPoll), hostReadPause },
+          hostHandlers())
     , m_callers(io, [this](asio::ip::tcp::socket socket) { acceptCaller(std::move(socket)); })
     , m_readiness(io, [this](const HttpRequest& request) { return answerReadiness(request); })
     , m_entries(io, [this](const HttpRequest& request) { return answerEntries(request); })
     , m_peerServer(io, [this](const HttpRequest& request) { return answerPeer(request); })
 {
-    m_hostFollower.readFromPeers(
-        [this](uint64_t from, bool isTurnedAway) { return m_peers.readHosts(from, isTurnedAway); });
+    m_hostFollower.setReadFromPeer(
+        [this](uint64_t from, bool isStoreUnavailable) { return m_peers.readHosts(from, isStoreUnavailable); });
     m_peers.setHostRecordSource([this](uint64_t from) {
         auto batch = m_hostFollower.feed().readFrom(from, m_context.now());
         if (batch) {
@@ -69,8 +69,8 @@
     });
     // Peers that read the store also report new configurations: 95 nodes that each waited at the store for
     // configurations made a quarter of all store calls.
-    m_configFollower.followWhile([this] { return !m_context.routes || !m_hostFollower.isFedByPeer(); });
-    m_peers.fetchConfigsWhile([this] { return m_hostFollower.isFedByPeer(); });
+    m_configFollower.followWhile([this] { return !m_context.routes || !m_hostFollower.hasRecentPeerRead(); });
+    m_peers.fetchConfigsWhile([this] { return m_hostFollower.hasRecentPeerRead(); });
 }
 
 Settled<std::monostate> Gateway::start()
@@ -132,8 +132,8 @@
 asio::awaitable<HttpResponse> Gateway::answerEntries(const HttpRequest& request)
 {
     HttpResponse response(http::status::not_found, 11);
-    auto question = m_context.platform.entriesQuery(toView(request.target()));
-    if (!question)
+    auto query = m_context.platform.entriesQuery(toView(request.target()));
+    if (!query)
         co_return response;
     std::vector<std::string> addresses = m_peers.callerAddresses({});
     if (isReady())
@@ -156,10 +156,10 @@
         m_context.log.write("config_unreadable", { { "problem", describe(*error) }, { "source", source } });
         return;
     }
-    auto& read = std::get<FleetConfig>(config);
-    if (m_context.routes && read.version <= m_context.routes->version())
+    auto& newConfig = std::get<FleetConfig>(config);
+    if (m_context.routes && newConfig.version <= m_context.routes->version())
         return;
-    m_context.routes = std::make_shared<const RouteTable>(std::move(read));
+    m_context.routes = std::make_shared<const RouteTable>(std::move(newConfig));
     m_context.configText = text;
     logConfig(m_context, source, configAge());
     retryHostsWithoutService();
@@ -167,13 +167,13 @@
 
 LogFollower::Handlers Gateway::configHandlers()
 {
-    auto take = [this](const LogRecord& record) {
+    auto applyRecord = [this](const LogRecord& record) {
         bool isConfig = record.isReadable && record.value && m_context.platform.isConfigKey(record.key);
         if (isConfig)
             adoptConfig(*record.value, "store");
         return isConfig;
     };
-    return { [] {}, take, [] {} };
+    return { [] {}, applyRecord, [] {} };
 }
 
 asio::awaitable<void> Gateway::runMaintenance()
@@ -202,7 +202,7 @@
         refreshTargets();
         // The duration of the tick itself is not a pause.
         m_context.pauses.timerFired(m_context.now(), m_context.now() + maintenancePeriod);
-        co_await pause(maintenancePeriod);
+        co_await sleepFor(maintenancePeriod);
     }
 }
 
@@ -245,9 +245,9 @@
 // so.
 std::optional<MonotonicTime> Gateway::configConfirmedAt() const
 {
-    MonotonicTime heardAt
+    MonotonicTime confirmedAt
         = std::max(m_configFollower.syncedAt().value_or(MonotonicTime {}), m_peers.configConfirmedAt());
-    return heardAt == MonotonicTime {} ? std::nullopt : std::optional(heardAt);
+    return confirmedAt == MonotonicTime {} ? std::nullopt : std::optional(confirmedAt);
 }
 
 // Zero if no version was reported yet.
@@ -272,31 +272,32 @@
     asio::co_spawn(m_context.io, stopGracefully(), asio::detached);
 }
 
-// Callers learn of the shutdown with their next request for the list of nodes; this node serves until the latest of
-// them has done so. Only then are connections without a request closed.
+// A stopping node is no longer in the list of nodes that callers request. It serves calls until every caller must have
+// refreshed its list. Only then are connections without a request closed.
 asio::awaitable<void> Gateway::stopGracefully()
 {
-    MonotonicTime begun = m_context.now();
-    MonotonicTime atLatest = begun + m_context.settings.stopGrace - stopMargin;
+    MonotonicTime stopRequestedAt = m_context.now();
+    MonotonicTime stopDeadline = stopRequestedAt + m_context.settings.stopGrace - stopMargin;
     co_await m_lease.release();
-    MonotonicTime callersGone = begun + m_context.settings.entriesLifetime * staleAnswerLifetimes + stopMargin;
-    while (m_context.now() < std::min(callersGone, atLatest))
-        co_await pause(maintenancePeriod);
+    MonotonicTime callersLeftAt
+        = stopRequestedAt + m_context.settings.entriesLifetime * staleAnswerLifetimes + stopMargin;
+    while (m_context.now() < std::min(callersLeftAt, stopDeadline))
+        co_await sleepFor(maintenancePeriod);
     m_callers.stop();
-    while (m_context.now() < atLatest) {
-        for (const auto& weak : m_sessions) {
-            if (auto session = weak.lock())
+    while (m_context.now() < stopDeadline) {
+        for (const auto& weakSession : m_sessions) {
+            if (auto session = weakSession.lock())
                 session->closeIfIdle();
         }
         if (m_context.calls.empty())
             break;
-        co_await pause(maintenancePeriod);
+        co_await sleepFor(maintenancePeriod);
     }
-    std::vector<std::shared_ptr<ActiveCall>> left(m_context.calls.begin(), m_context.calls.end());
-    for (const auto& call : left)
+    std::vector<std::shared_ptr<ActiveCall>> remaining(m_context.calls.begin(), m_context.calls.end());
+    for (const auto& call : remaining)
         call->cancel(CancelReason::NodeShutdown);
-    co_await pause(maintenancePeriod);
-    m_context.log.write("stopped", { { "cancelled_calls", left.size() } });
+    co_await sleepFor(maintenancePeriod);
+    m_context.log.write("stopped", { { "cancelled_calls", remaining.size() } });
     m_context.log.flush();
     m_context.io.stop();
 }
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -29,28 +29,28 @@
     constexpr const char* configTarget = "/config";
     constexpr const char* hostsTarget = "/hosts?from=";
     constexpr Milliseconds readTimeout { 300 };
-    // For the body: a list of some thousand hosts over a link of 20 Mbit/s.
+    // Allows for a list of some thousand hosts over a link of 20 Mbit/s.
     constexpr Milliseconds listBodyTimeout { 3000 };
-    // A reader that got no response from the store for longer may be separated from it.
+    // A reader that got no response from the store for longer may be partitioned from it.
     constexpr Milliseconds maxReaderAge { 1000 };
-    // For the body: a text of some 100 KB over a link of 20 Mbit/s that is shared with callers.
+    // Allows for a text of some 100 KB over a link of 20 Mbit/s that is shared with callers.
     constexpr Milliseconds configBodyTimeout { 1500 };
     constexpr Milliseconds relayedTimeout { 100 };
 
 }
 
-Peers::Peers(GatewayContext& context, FillDigest fill, ApplyDigest take, ApplyConfig takeConfig)
+Peers::Peers(GatewayContext& context, FillDigest digestFiller, ApplyDigest digestHandler, ApplyConfig configHandler)
     : m_context(context)
-    , m_fillDigest(std::move(fill))
-    , m_applyDigest(std::move(take))
-    , m_applyConfig(std::move(takeConfig))
+    , m_fillDigest(std::move(digestFiller))
+    , m_applyDigest(std::move(digestHandler))
+    , m_applyConfig(std::move(configHandler))
     , m_listReaders(context.settings.peers.toString())
 {
     for (const Address& seed : context.settings.seedAddresses())
-        addKnown(seed);
+        addPeer(seed);
 }
 
-void Peers::addKnown(const Address& address)
+void Peers::addPeer(const Address& address)
 {
     if (address != m_context.settings.peers)
         m_peers.try_emplace(address.toString());
@@ -58,10 +58,10 @@
 
 bool Peers::isAlive(const Peer& peer, MonotonicTime now) const
 {
-    return !peer.digest.name.empty() && now - peer.lastDigestAt < aliveFor();
+    return !peer.digest.name.empty() && now - peer.lastDigestAt < aliveTimeout();
 }
 
-Milliseconds Peers::aliveFor() const
+Milliseconds Peers::aliveTimeout() const
 {
     size_t roundsForAll = (m_peers.size() + peersPerRound - 1) / peersPerRound;
     return maxSilence + roundPeriod * static_cast<int>(std::max<size_t>(1, roundsForAll));
@@ -73,7 +73,7 @@
         sendDigests();
         fetchNewerConfig();
         std::erase_if(m_peers, [](const auto& entry) { return entry.second.failures > failuresUntilRemoved; });
-        co_await pause(roundPeriod);
+        co_await sleepFor(roundPeriod);
     }
 }
 
@@ -90,7 +90,7 @@
     std::vector<std::string> due;
     for (const auto& [address, peer] : m_peers) {
         bool isSlow = peer.failures > failuresUntilSlowRetry && now - peer.calledAt < slowRetryPeriod;
-        if (!peer.isCalling && !isSlow)
+        if (!peer.isCallInProgress && !isSlow)
             due.push_back(address);
     }
     // Peers that were called longest ago come first, so that none waits longer than the others. With a random choice,
@@ -105,7 +105,7 @@
 asio::awaitable<void> Peers::exchangeDigests(std::string address)
 {
     Peer& peer = m_peers[address];
-    peer.isCalling = true;
+    peer.isCallInProgress = true;
     peer.calledAt = m_context.now();
     HttpRequest request(http::verb::post, "/digest", 11);
     {
@@ -121,7 +121,7 @@
     auto found = m_peers.find(address);
     if (found == m_peers.end())
         co_return;
-    found->second.isCalling = false;
+    found->second.isCallInProgress = false;
     LoopTime::Section section(m_context.loopTime, LoopPart::Peers);
     auto* response = std::get_if<HttpResponse>(&answer);
     auto digest = response ? decodeDigest(response->body()) : std::nullopt;
@@ -190,12 +190,12 @@
         return { http::status::bad_request, 11 };
     }
     std::string zone = digest->zone;
-    std::string reader = digest->peers;
+    std::string receiver = digest->peers;
     addTransitDelay(*digest, {});
     applyDigest(std::move(*digest));
     HttpResponse response(http::status::ok, 11);
     response.set(http::field::content_type, "application/json");
-    response.body() = encode(ownDigest(reader, true));
+    response.body() = encode(ownDigest(receiver, true));
     countBytes("digest", zone, response.body().size());
     return response;
 }
@@ -221,10 +221,10 @@
     return response;
 }
 
-std::vector<DutyNode> Peers::nodesOf(std::string_view zone) const
+std::vector<CandidateNode> Peers::nodesInZone(std::string_view zone) const
 {
     MonotonicTime now = m_context.now();
-    std::vector<DutyNode> nodes { self() };
+    std::vector<CandidateNode> nodes { self() };
     for (const auto& [address, peer] : m_peers) {
         bool isOfZone = zone.empty() || peer.digest.zone == zone;
         if (isAlive(peer, now) && isOfZone && !peer.digest.isStopping)
@@ -233,21 +233,24 @@
     return nodes;
 }
 
-DutyNode Peers::self() const { return { m_context.settings.peers.toString(), m_context.settings.cpuShareOrDefault() }; }
+CandidateNode Peers::self() const
+{
+    return { m_context.settings.peers.toString(), m_context.settings.cpuShareOrDefault() };
+}
 
-bool Peers::isStrongNode() const { return isStrong(self(), nodesOf({})); }
+bool Peers::selfHasLargeCpuShare() const { return hasLargeCpuShare(self(), nodesInZone({})); }
 
 bool Peers::isChosen(std::string_view duty, size_t count) const
 {
-    auto chosen = chooseNodes(nodesOf({}), duty, count);
+    auto chosen = chooseNodes(nodesInZone({}), duty, count);
     return std::ranges::find(chosen, m_context.settings.peers.toString()) != chosen.end();
 }
 
-std::vector<std::string> Peers::chosenOf(std::string_view zone, std::string_view duty, size_t count) const
+std::vector<std::string> Peers::chosenNodes(std::string_view zone, std::string_view duty, size_t count) const
 {
-    auto nodes = nodesOf(zone);
+    auto nodes = nodesInZone(zone);
     if (zone != m_context.settings.zone)
-        std::erase_if(nodes, [this](const DutyNode& node) { return node.address == self().address; });
+        std::erase_if(nodes, [this](const CandidateNode& node) { return node.address == self().address; });
     return chooseNodes(nodes, duty, count);
 }
 
@@ -265,32 +268,32 @@
 
 // The readers of this node's zone, unless it is a reader itself. If the store is unavailable to it, all readers of all
 // zones.
-std::vector<std::string> Peers::hostReadersToAsk(bool isTurnedAway) const
+std::vector<std::string> Peers::hostReadersToQuery(bool isStoreUnavailable) const
 {
     if (m_context.disabledMechanisms.contains(Mechanism::StoreReaders))
         return {};
     MonotonicTime now = m_context.now();
-    auto ownZone = nodesOf(m_context.settings.zone);
-    if (!isTurnedAway)
+    auto ownZone = nodesInZone(m_context.settings.zone);
+    if (!isStoreUnavailable)
         return m_listReaders.readersToQuery(ownZone, now);
     auto readers = m_listReaders.readersOf(ownZone, now);
     for (const std::string& zone : otherZones()) {
-        auto nodes = nodesOf(zone);
-        std::erase_if(nodes, [this](const DutyNode& node) { return node.address == self().address; });
+        auto nodes = nodesInZone(zone);
+        std::erase_if(nodes, [this](const CandidateNode& node) { return node.address == self().address; });
         std::ranges::move(m_listReaders.readersOf(nodes, now), std::back_inserter(readers));
     }
     std::erase(readers, self().address);
     return readers;
 }
 
-asio::awaitable<LogFollower::PeerRead> Peers::readHosts(uint64_t from, bool isTurnedAway)
+asio::awaitable<LogFollower::PeerReadResult> Peers::readHosts(uint64_t from, bool isStoreUnavailable)
 {
-    auto readers = hostReadersToAsk(isTurnedAway);
+    auto readers = hostReadersToQuery(isStoreUnavailable);
     if (readers.empty()) {
         m_listReaders.recordSuccess();
-        co_return LogFollower::PeerRead {};
+        co_return LogFollower::PeerReadResult {};
     }
-    bool isReader = m_listReaders.readersToQuery(nodesOf(m_context.settings.zone), m_context.now()).empty();
+    bool isReader = m_listReaders.readersToQuery(nodesInZone(m_context.settings.zone), m_context.now()).empty();
     bool didAnyAnswer = false;
     for (const std::string& reader : readers) {
         auto answer = co_await readHostsAt(reader, from);
@@ -300,20 +303,20 @@
         }
         auto* batch = std::get_if<RecordBatch>(&answer);
         // An outdated list is better than none.
-        bool isUsable = batch && (batch->age <= maxReaderAge || (isTurnedAway && from == 0));
+        bool isUsable = batch && (batch->age <= maxReaderAge || (isStoreUnavailable && from == 0));
         if (isUsable) {
             m_listReaders.recordSuccess();
             m_configConfirmedAt = std::max(m_configConfirmedAt, m_context.now() - batch->configAge);
             m_catchUp.recordPeerVersion(reader, true, batch->configVersion, m_context.now());
             fetchNewerConfig();
-            co_return LogFollower::PeerRead { std::move(*batch), isReader };
+            co_return LogFollower::PeerReadResult { std::move(*batch), isReader };
         }
-        m_listReaders.failed(reader, m_context.now());
+        m_listReaders.recordFailure(reader, m_context.now());
         m_context.log.write(
             "reader_failed", { { "peer", reader }, { "from", from }, { "age_ms", batch ? batch->age.count() : -1 } });
     }
     bool mayReadStore = isReader || m_listReaders.mayReadStore(didAnyAnswer, m_context.now());
-    co_return LogFollower::PeerRead { std::nullopt, mayReadStore };
+    co_return LogFollower::PeerReadResult { std::nullopt, mayReadStore };
 }
 
 asio::awaitable<Peers::ReaderAnswer> Peers::readHostsAt(std::string address, uint64_t from)
@@ -355,15 +358,15 @@
 // Counted per zone because traffic between zones is slow and billed.
 void Peers::countBytes(const char* kind, std::string_view zone, size_t bytes)
 {
-    const char* where = zone == m_context.settings.zone ? "own" : "other";
-    m_context.metrics.count(fmt::format("peer_bytes_total{{kind=\"{}\",zone=\"{}\"}}", kind, where), bytes);
+    const char* zoneLabel = zone == m_context.settings.zone ? "own" : "other";
+    m_context.metrics.count(fmt::format("peer_bytes_total{{kind=\"{}\",zone=\"{}\"}}", kind, zoneLabel), bytes);
 }
 
 bool Peers::knowsNewerConfig() const { return m_catchUp.isBehind(configVersion()); }
 
 uint64_t Peers::configVersion() const { return m_context.routes ? m_context.routes->version() : 0; }
 
-PeerDigest Peers::ownDigest(std::string_view reader, bool isAnswer)
+PeerDigest Peers::ownDigest(std::string_view receiver, bool isAnswer)
 {
     PeerDigest digest;
     digest.name = m_context.settings.name;
@@ -375,7 +378,7 @@
     digest.isStopping = m_context.isStopping;
     digest.anyCallSeen = m_context.anyCallSeen;
     digest.configVersion = configVersion();
-    if (includesPeersFor(reader)) {
+    if (shouldIncludePeers(receiver)) {
         for (const auto& [address, peer] : m_peers) {
             if (isAlive(peer))
                 digest.knownPeers.push_back(address);
@@ -393,9 +396,9 @@
 // The addresses of all nodes are most of a digest in a large fleet and seldom change, so a new peer gets them at once
 // and other peers only in some digests. Together with omitting statuses from requests, this halved the traffic between
 // zones of sixty nodes.
-bool Peers::includesPeersFor(std::string_view reader)
+bool Peers::shouldIncludePeers(std::string_view receiver)
 {
-    auto peer = m_peers.find(reader);
+    auto peer = m_peers.find(receiver);
     if (peer == m_peers.end() || !isAlive(peer->second))
         return true;
     peer->second.digestsWithoutPeers = (peer->second.digestsWithoutPeers + 1) % digestsPerPeerList;
@@ -406,22 +409,22 @@
 {
     if (digest.peers == m_context.settings.peers.toString())
         return;
-    for (const std::string& known : digest.knownPeers) {
-        auto address = settle([&] { return Address::parse(known); });
+    for (const std::string& peerAddress : digest.knownPeers) {
+        auto address = settle([&] { return Address::parse(peerAddress); });
         if (auto* valid = std::get_if<Address>(&address))
-            addKnown(*valid);
+            addPeer(*valid);
     }
     Peer& peer = m_peers[digest.peers];
     // A process never leaves the stopping state, so an earlier digest that arrives late must not clear it.
     digest.isStopping = digest.isStopping || (peer.digest.incarnation == digest.incarnation && peer.digest.isStopping);
-    bool isNews = !isAlive(peer) || peer.digest.incarnation != digest.incarnation
+    bool isStateChange = !isAlive(peer) || peer.digest.incarnation != digest.incarnation
         || peer.digest.isStopping != digest.isStopping;
     peer.lastDigestAt = m_context.now();
     peer.failures = 0;
     peer.digest = std::move(digest);
     m_catchUp.recordPeerVersion(
         peer.digest.peers, peer.digest.zone == m_context.settings.zone, peer.digest.configVersion, peer.lastDigestAt);
-    if (isNews)
+    if (isStateChange)
         m_context.log.write("peer",
             { { "peer", peer.digest.name }, { "stopping", peer.digest.isStopping },
                 { "config", peer.digest.configVersion } });
@@ -432,21 +435,21 @@
 std::vector<std::string> Peers::callerAddresses(std::string_view zone) const
 {
     std::vector<std::string> result;
-    std::vector<std::string> doubtful;
+    std::vector<std::string> unresponsive;
     for (const auto& [address, peer] : m_peers) {
         bool isOfZone = zone.empty() || peer.digest.zone == zone;
         if (!isAlive(peer) || !peer.digest.isReady || peer.digest.isStopping || !isOfZone)
             continue;
-        (peer.failures == 0 ? result : doubtful).push_back(peer.digest.callers);
+        (peer.failures == 0 ? result : unresponsive).push_back(peer.digest.callers);
     }
-    return result.empty() ? doubtful : result;
+    return result.empty() ? unresponsive : result;
 }
 
-bool Peers::isIncarnationAlive(std::string_view life) const
+bool Peers::isIncarnationAlive(std::string_view incarnation) const
 {
     return std::ranges::any_of(m_peers, [&](const auto& entry) {
         const PeerDigest& digest = entry.second.digest;
-        return isAlive(entry.second) && incarnationName(digest.name, digest.incarnation) == life;
+        return isAlive(entry.second) && incarnationName(digest.name, digest.incarnation) == incarnation;
     });
 }
 
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    // For the body: many versions of a long text, over a link that is shared with callers.
+    // Allows for many versions of a long text over a link that is shared with callers.
     constexpr Milliseconds bodyTimeout { 1500 };
     constexpr Milliseconds inactivePollPeriod { 200 };
     // Delay before peers are asked again instead of the store, as a few more digests may name other peers.
@@ -21,9 +21,9 @@
     constexpr int failuresUntilPeerListing = 3;
     // Records after the end of an older listing may have expired.
     constexpr Milliseconds maxListingAge { 15'000 };
-    // Peers are read every half second.
+    // Peers are read every half second, so this covers three reads.
     constexpr Milliseconds peerReadValidity { 1500 };
-    // Meanwhile, a node that cannot use the store reads from its peers.
+    // Interval between attempts to read an unavailable store. In between, the node reads from its peers.
     constexpr Milliseconds storeRetryDelay { 1000 };
     // A single lost response is not an outage.
     constexpr int failuresUntilOutage = 2;
@@ -34,7 +34,7 @@
 
 }
 
-void StoreHealth::answered()
+void StoreHealth::recordResponse()
 {
     m_failures = 0;
     if (m_isServing)
@@ -44,7 +44,7 @@
     m_context.log.write("store_available", nlohmann::json::object());
 }
 
-void StoreHealth::failed(const Error& error)
+void StoreHealth::recordFailure(const Error& error)
 {
     if (++m_failures < failuresUntilOutage || !m_isServing)
         return;
@@ -52,13 +52,14 @@
     m_context.log.write("store_unavailable", { { "problem", describe(error) } });
 }
 
-LogFollower::LogFollower(GatewayContext& context, StoreHealth& health, LogName log, ReadOptions pace, Handlers handlers)
+LogFollower::LogFollower(
+    GatewayContext& context, StoreHealth& health, LogName log, ReadOptions options, Handlers handlers)
     : m_context(context)
     , m_health(health)
     , m_log(log)
-    , m_readOptions(pace)
+    , m_readOptions(options)
     , m_handlers(std::move(handlers))
-    , m_reads(pace.reads)
+    , m_reads(options.reads)
 {
 }
 
@@ -69,17 +70,17 @@
             // Only the newest records are of use after the interruption.
             m_isListed = false;
             m_listing.reset();
-            co_await pause(inactivePollPeriod);
+            co_await sleepFor(inactivePollPeriod);
             continue;
         }
         Outcome outcome = co_await readOnce();
-        Milliseconds rest = m_listing ? Milliseconds(0) : m_readOptions.readPause;
+        Milliseconds delay = m_listing ? Milliseconds(0) : m_readOptions.readPause;
         if (outcome == Outcome::Failed)
-            rest = m_reads.failed(m_context.drawUniform());
+            delay = m_reads.recordFailure(m_context.drawUniform());
         else if (outcome == Outcome::RetryPeers)
-            rest = peerRetryDelay;
-        if (rest.count() > 0)
-            co_await pause(rest);
+            delay = peerRetryDelay;
+        if (delay.count() > 0)
+            co_await sleepFor(delay);
     }
 }
 
@@ -90,7 +91,7 @@
     bool isStoreDue = m_mayReadStore && m_reads.failures() > 0 && m_context.now() - m_storeTriedAt > storeRetryDelay;
     bool triesPeers = m_isListed || m_reads.failures() >= failuresUntilPeerListing;
     if (m_readFromPeer && triesPeers && !isStoreDue) {
-        PeerRead read = co_await m_readFromPeer(m_nextOffset, m_reads.failures() > 0);
+        PeerReadResult read = co_await m_readFromPeer(m_nextOffset, m_reads.failures() > 0);
         m_mayReadStore = read.mayReadStore;
         if (read.batch && applyBatch(std::move(*read.batch)))
             co_return Outcome::Done;
@@ -138,7 +139,7 @@
         readFailed(*error, askedAt);
         co_return std::nullopt;
     }
-    m_health.answered();
+    m_health.recordResponse();
     auto& found = std::get<LogPage>(page);
     if (!m_listing)
         m_listing = Listing { m_context.now(), found.nextOffset, {}, {} };
@@ -159,7 +160,7 @@
     m_nextOffset = nextOffset;
     m_feed.replaceAll(records, m_nextOffset, readAt);
     m_isListed = true;
-    m_reads.succeeded();
+    m_reads.recordSuccess();
     m_syncedAt = std::max(m_syncedAt.value_or(readAt), readAt);
 }
 
@@ -167,9 +168,10 @@
 {
     m_context.metrics.count("store_calls_total{kind=\"read\"}");
     m_storeTriedAt = m_context.now();
-    ReadTerms terms = m_reads.next();
+    ReadTimeouts timeouts = m_reads.nextTimeouts();
     auto answer = co_await m_context.pool.exchange(m_context.settings.store,
-        m_context.platform.readLog(m_log, m_nextOffset, terms.hold), terms.patience, Step::LogRead, bodyTimeout);
+        m_context.platform.readLog(m_log, m_nextOffset, timeouts.longPollTime), timeouts.responseTimeout, Step::LogRead,
+        bodyTimeout);
     auto* response = std::get_if<HttpResponse>(&answer);
     auto page = response ? m_context.platform.logPage(m_log, m_nextOffset, *response)
                          : Settled<LogPage>(std::get<Error>(answer));
@@ -177,8 +179,8 @@
         readFailed(*error, m_storeTriedAt);
         co_return false;
     }
-    m_health.answered();
-    m_reads.succeeded();
+    m_health.recordResponse();
+    m_reads.recordSuccess();
     m_peerReadAt.reset();
     auto& found = std::get<LogPage>(page);
     if (found.isGap) {
@@ -188,20 +190,20 @@
         co_return true;
     }
     uint64_t from = m_nextOffset;
-    auto news = applyRecords(std::move(found.records), found.nextOffset);
+    auto changes = applyRecords(std::move(found.records), found.nextOffset);
     m_syncedAt = m_context.now();
-    m_feed.append(from, std::move(news), m_nextOffset, m_context.now());
+    m_feed.append(from, std::move(changes), m_nextOffset, m_context.now());
     co_return true;
 }
 
-void LogFollower::readFailed(const Error& problem, MonotonicTime askedAt)
+void LogFollower::readFailed(const Error& error, MonotonicTime askedAt)
 {
     auto waited = std::chrono::round<Milliseconds>(m_context.now() - askedAt);
     m_context.metrics.count(fmt::format("store_failures_total{{log=\"{}\"}}", toString(m_log)));
     m_context.log.write("store_read_failed",
         { { "log", toString(m_log) }, { "next", m_nextOffset }, { "waited_ms", waited.count() },
-            { "failures", m_reads.failures() + 1 }, { "problem", describe(problem) } });
-    m_health.failed(problem);
+            { "failures", m_reads.failures() + 1 }, { "problem", describe(error) } });
+    m_health.recordFailure(error);
 }
 
 // Returns the records that changed something.
@@ -209,7 +211,7 @@
 {
     std::erase_if(records, [this](const LogRecord& record) { return !m_handlers.record(record); });
     m_nextOffset = nextOffset;
-    m_handlers.upToDate();
+    m_handlers.caughtUp();
     return records;
 }
 
@@ -226,13 +228,16 @@
         return true;
     }
     uint64_t from = m_nextOffset;
-    auto news = applyRecords(std::move(batch.records), batch.nextOffset);
+    auto changes = applyRecords(std::move(batch.records), batch.nextOffset);
     m_syncedAt = std::max(m_syncedAt.value_or(readAt), readAt);
     // Nodes that have received few digests may consider this node a reader and read from it.
-    m_feed.append(from, std::move(news), m_nextOffset, *m_syncedAt);
+    m_feed.append(from, std::move(changes), m_nextOffset, *m_syncedAt);
     return true;
 }
 
-bool LogFollower::isFedByPeer() const { return m_peerReadAt && m_context.now() - *m_peerReadAt < peerReadValidity; }
+bool LogFollower::hasRecentPeerRead() const
+{
+    return m_peerReadAt && m_context.now() - *m_peerReadAt < peerReadValidity;
+}
 
 } // namespace Kumquatpick
