--- a/src/coordination/slotarrival.h
+++ b/src/coordination/slotarrival.h
@@ -8,23 +8,23 @@
 
 namespace Kumquatpick {
 
-// How a node asks for the right to run a non-repeatable request, with the wait built in.
+// The result of a permit or void request.
 struct PermitOutcome {
     PermitAnswer answer = PermitAnswer::Undecided;
-    JournalEntry entry; // Of the key, when the answer speaks about it.
+    JournalEntry entry; // The owner's entry of the key; set for Granted, HeldByOther and Voided.
 };
 
-// One arrival of a request at its entry node, until it is decided: either it asks for a permit, or it has
-// given that up and asks that no attempt up to its own ever runs.
+// One arrival of a request at its entry node, until it is decided. It first requests a permit to dispatch. Once
+// given up, it requests instead that its attempt and all earlier ones are voided.
 class SlotArrival {
 public:
     SlotArrival(RequestKey, ArrivalId, NodeInfo entry, SlotGuards = {});
 
-    // What to send to the owner at that epoch, now and again until it is decided.
+    // The message to send to the slot's owner at that epoch, repeated until a reply decides.
     SlotMessage question(uint32_t slot, uint32_t epoch) const;
-    // The outcome, once a reply decides it.
+    // Returns the outcome if the reply decides this arrival.
     std::optional<PermitOutcome> on(const PermitReply&);
-    // From now on a grant is no use to this arrival, however late it comes; it must not have been dispatched.
+    // Switches from permit to void requests; any later grant is ignored. Must not be called after dispatch.
     void giveUp() { m_isGivenUp = true; }
 
     bool isGivenUp() const { return m_isGivenUp; }
--- a/src/coordination/slotguards.h
+++ b/src/coordination/slotguards.h
@@ -2,8 +2,9 @@
 
 namespace Kumquatpick {
 
-// Each rule that at-most-once rests on. Production code runs with all of them; the tests switch one off at a
-// time to show that the checker then finds a request that ran twice, or one that ran after "not run".
+// The rules that at-most-once execution depends on. Production code enables all of them. The tests disable one at a
+// time and check that the model checker then finds a request that ran twice, or one that ran after "not run" was
+// reported.
 struct SlotGuards {
     bool grantWaitsForWitness = true;
     bool voidWaitsForWitness = true;
--- a/src/coordination/slotkey.cpp
+++ b/src/coordination/slotkey.cpp
@@ -15,7 +15,7 @@
     constexpr size_t serialDigits = 8;
     constexpr size_t mintedLength = prefix.size() + slotDigits + timeDigits + incarnationDigits + serialDigits + 3;
 
-    // Takes that many lower-case hexadecimal digits off the front, and the dot after them unless they end the text.
+    // Consumes the given number of lower-case hexadecimal digits, and the dot that follows unless the text ends there.
     std::optional<uint64_t> takeHex(std::string_view& text, size_t digits)
     {
         uint64_t value = 0;
--- a/src/coordination/slotmember.cpp
+++ b/src/coordination/slotmember.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // A minted key carries its own issue time; no other word counts for it.
+    // A minted key encodes its issue time, which overrides the one in the request.
     RequestKey withOwnIssueTime(RequestKey request)
     {
         if (auto minted = MintedKey::parse(request.key))
@@ -58,8 +58,9 @@
     decide(asked, now, actions);
 }
 
-// The partner may have sealed too and win the log with a journal that lacks what only this one has, so only
-// "may have run" is safe to say. The holder itself is left waiting, as its grant may yet stand.
+// The partner may have sealed as well, and its proposal may be accepted with a journal that lacks entries which only
+// this node has. So the only safe verdict is "may have run", for entries that the witness has acknowledged. The holder
+// of a grant gets no verdict, because its grant may still be valid in the next epoch.
 void SlotMember::answerSealed(const Ask& asked, SlotActions& actions) const
 {
     auto entry = m_journal.find(asked.request.key).value_or(JournalEntry {});
@@ -80,8 +81,8 @@
     return issued < m_journal.forgottenBefore() || issued < now - m_limits.retention;
 }
 
-// What the journal knows of a key goes before what its issue time says. A key from the future is not decided:
-// were it granted and both members lost, the reset's time could not tell that it had run.
+// A journal entry takes precedence over the age of the key. A key issued in the future is not decided: if it were
+// granted and both members were lost, its issue time could be later than the reset's time, and it could run again.
 void SlotMember::decide(const Ask& asked, WallTime now, SlotActions& actions)
 {
     const RequestKey& request = asked.request;
@@ -105,7 +106,7 @@
         fresh.issued = request.issued;
         return decideOwn(asked, std::move(fresh), actions);
     }
-    // A caller that moves the issue time on must not outlive its own entry.
+    // A caller may resend with a later issue time; the entry must then be retained for as long as that time allows.
     if (request.issued > known->issued && !isFromFuture) {
         known->issued = request.issued;
         return record(std::move(*known), asked, actions);
@@ -113,7 +114,7 @@
     decideOwn(asked, std::move(*known), actions);
 }
 
-// The entry as both members have it, and what the arrival asks of it.
+// Decides a request against an entry that both members have stored.
 void SlotMember::decideOwn(const Ask& asked, JournalEntry entry, SlotActions& actions)
 {
     uint32_t attempt = asked.request.attempt;
@@ -261,7 +262,7 @@
 
 NodeId SlotMember::copyKey(const NodeId& proposer) const { return m_guards.copyPerProposer ? proposer : NodeId {}; }
 
-// Kept apart from the journal until the log decides which proposer's copy counts.
+// Copies are kept apart from the journal until the log decides which proposer's copy the next epoch starts from.
 void SlotMember::on(const CopyRequest& request, WallTime, SlotActions& actions)
 {
     if (request.epoch < m_assignment.epoch || request.part >= request.parts)
@@ -307,8 +308,8 @@
     std::erase_if(m_copies, [&](const auto& copy) { return copy.first.first < assignment.epoch; });
 }
 
-// A new epoch starts from its proposer's frozen journal and from nothing else, at both members alike, so
-// that their journals never differ by more than what the owner is recording.
+// Both members start a new epoch from its proposer's frozen journal alone, so that their journals never differ by more
+// than the records that the witness has not acknowledged.
 void SlotMember::adopt(const SlotAssignment& next)
 {
     bool isNextMember = isSelf(next.owner.id) || isSelf(next.witness.id);
@@ -340,7 +341,7 @@
         sendPart(target, actions);
 }
 
-// A frozen journal stays as it is, or its parts would not fit together.
+// A sealed journal is not changed, because its parts must be consistent with each other.
 void SlotMember::forget(WallTime now)
 {
     if (m_holdsJournal && !m_sealed && m_unwitnessed.empty())
--- a/src/coordination/slotmember.h
+++ b/src/coordination/slotmember.h
@@ -21,19 +21,19 @@
     SlotMessage message;
 };
 
-// What a slot's member wants done: a message sent, or a change proposed to the log.
+// A side effect requested by a slot member: a message to send, or a change to propose to the log.
 using SlotAction = std::variant<SlotSend, SlotChange>;
 using SlotActions = std::vector<SlotAction>;
 
 struct SlotLimits {
     Milliseconds retention { 3'600'000 };
-    Milliseconds clockSkew { 2'000 }; // Two nodes' wall clocks differ by less than this.
+    Milliseconds clockSkew { 2'000 }; // Upper bound of the difference between two nodes' wall clocks.
     size_t entriesPerPart = 256;
 };
 
-// One slot at one node: owner, witness or neither. All decisions of at-most-once are taken here, as a plain
-// function of state and event; threads, sockets and clocks stay outside. Safety rests on no clock but for
-// keys older than the retention and for slots that lost both members.
+// The state machine of one slot at one node, which is the slot's owner, its witness or neither. All at-most-once
+// decisions are made here, as a deterministic function of state and event, without threads, sockets or clocks. Safety
+// depends on clocks only for keys older than the retention and for slots that lost both members.
 class SlotMember {
 public:
     SlotMember(uint32_t slot, NodeInfo self, SlotLimits, SlotGuards = {});
@@ -45,16 +45,16 @@
     void on(const CopyRequest&, WallTime now, SlotActions&);
     void on(const CopyReply&, WallTime now, SlotActions&);
 
-    // The log named another pair; epochs may be skipped, as a lagging node sees them at once.
+    // Applies an assignment decided by the log. Epochs may be skipped, because a lagging node applies only the latest.
     void assign(const SlotAssignment&);
-    // Seals the epoch, copies the frozen journal to each of the pair that is not this node, and once they
-    // all have it, proposes them. An empty witness name proposes an owner alone.
+    // Seals the epoch and copies the frozen journal to those of the two nodes that are not this one. Proposes the
+    // new pair once they hold complete copies. An empty witness name proposes an owner without a witness.
     void replacePair(const NodeInfo& owner, const NodeInfo& witness, SlotActions&);
-    // Repeats what was not answered yet.
+    // Resends all unacknowledged records, or after sealing all unacknowledged journal parts.
     void resend(SlotActions&) const;
-    // Proposes the new pair (again) if all of it have the journal.
+    // Proposes the new pair, or repeats the proposal, if both nodes hold the complete journal.
     void propose(SlotActions&) const;
-    // Drops entries past retention.
+    // Drops journal entries older than the retention.
     void forget(WallTime now);
 
     const NodeInfo& self() const { return m_self; }
@@ -63,22 +63,22 @@
     bool isOwner() const { return isSelf(m_assignment.owner.id); }
     bool isWitness() const { return isSelf(m_assignment.witness.id); }
     bool isSealed() const { return m_sealed; }
-    // A member without a journal decides nothing: it missed the copy.
+    // False if this node became a member without receiving the complete copy; it then makes no decisions.
     bool holdsJournal() const { return m_holdsJournal; }
     const Journal& journal() const { return m_journal; }
 
-    // The pair that the journal is being copied to or that was proposed; both names empty if none.
+    // The pair that the journal is being copied to or that was proposed; both names are empty if there is none.
     const NodeInfo& proposedOwner() const { return m_change.owner; }
     const NodeInfo& proposedWitness() const { return m_change.witness; }
-    // Parts of the journal that the proposed pair still lacks.
+    // The number of journal parts that the proposed pair has not acknowledged.
     size_t partsMissing() const;
-    // The serial of the oldest record that the witness has not said to have kept; 0 if there is none.
+    // The serial of the oldest record that the witness has not acknowledged; 0 if there is none.
     uint64_t oldestUnwitnessed() const { return m_unwitnessed.empty() ? 0 : m_unwitnessed.begin()->first; }
 
 private:
-    friend class SlotMemberPrinter; // Of the model's checker, which compares whole states.
+    friend class SlotMemberPrinter; // Lets the model checker in the tests compare complete states.
 
-    // A permit or a void that some entry node asks for.
+    // A permit or void request from an entry node.
     struct Ask {
         bool isVoid = false;
         RequestKey request;
@@ -86,13 +86,13 @@
         NodeInfo entry;
     };
 
-    // An entry that the witness has not said to have kept.
+    // An entry that the witness has not acknowledged.
     struct Unwitnessed {
         JournalEntry entry;
-        std::vector<Ask> waiting; // Decided anew once it has.
+        std::vector<Ask> waiting; // Requests of the key, decided once the witness acknowledges.
     };
 
-    // A sealed epoch's journal on its way here.
+    // The journal of a sealed epoch, as received so far from its proposer.
     struct Copy {
         NodeId proposer;
         uint32_t parts = 0;
@@ -136,9 +136,9 @@
     bool m_holdsJournal = false;
     bool m_sealed = false;
     uint64_t m_lastSerial = 0;
-    std::map<uint64_t, Unwitnessed> m_unwitnessed; // By serial.
+    std::map<uint64_t, Unwitnessed> m_unwitnessed; // Keyed by serial.
     std::map<std::string, uint64_t, std::less<>> m_unwitnessedKeys;
-    std::map<std::pair<uint32_t, NodeId>, Copy> m_copies; // By sealed epoch and proposer.
+    std::map<std::pair<uint32_t, NodeId>, Copy> m_copies; // Keyed by sealed epoch and proposer.
     std::shared_ptr<const std::vector<CopyRequest>> m_frozen;
     Change m_change;
 };
--- a/src/coordination/slotmessage.h
+++ b/src/coordination/slotmessage.h
@@ -10,27 +10,27 @@
 
 namespace Kumquatpick {
 
-// A caller's key with what orders its attempts. A refusal names the next attempt; a caller that comes back
-// with the same attempt is told the same thing again.
+// The idempotency key of a request, with its attempt number and issue time. A refusal names the next attempt to use;
+// a retry with the same attempt number gets the same answer again.
 struct RequestKey {
     std::string key;
     uint32_t attempt = 1;
-    WallTime issued {}; // By the caller's word; the owner reads it from the key if a node minted that.
+    WallTime issued {}; // As the caller states it; for a minted key, the owner uses the time in the key instead.
 };
 
-// What a slot's journal knows of one key.
+// The state of one key in a slot's journal.
 struct JournalEntry {
     std::string key;
     WallTime issued {};
     uint32_t voidedUpTo = 0; // Attempts up to this one never ran and never will.
-    uint32_t grantedAttempt = 0; // 0: never granted.
+    uint32_t grantedAttempt = 0; // 0: no grant is in force.
     ArrivalId grantedTo {};
-    NodeInfo grantedAt {}; // The entry node that may dispatch it, and keeps its answer.
+    NodeInfo grantedAt {}; // The entry node that may dispatch the request and stores its answer.
 
     bool operator==(const JournalEntry&) const = default;
 };
 
-// Messages between nodes about one slot. Any of them may be lost, late, doubled or out of order.
+// Messages between nodes about one slot. Any message may be lost, delayed, duplicated or reordered.
 
 struct PermitRequest {
     uint32_t slot = 0;
@@ -40,8 +40,8 @@
     NodeInfo entry;
 };
 
-// Asks that no arrival of the key up to this attempt ever runs. Sent before "not run" is said; the arrival
-// that holds the grant and never dispatched may void its own.
+// Requests that no arrival of the key with this attempt or an earlier one ever runs. It must succeed before "not run"
+// is reported to the caller. An arrival that holds the grant but was never dispatched may void its own grant.
 struct VoidRequest {
     uint32_t slot = 0;
     uint32_t epoch = 0;
@@ -52,11 +52,11 @@
 
 enum class PermitAnswer : uint8_t {
     Granted, // This arrival may dispatch, once.
-    HeldByOther, // Another arrival was granted; its entry node is named.
+    HeldByOther, // Another arrival holds the grant; the entry names its entry node.
     Voided, // Attempts up to voidedUpTo never ran and never will.
-    Expired, // Issued before what the journal still knows: may have run.
-    WrongEpoch, // Not the owner at that epoch; look at the log again.
-    Undecided, // Sealed, or the witness does not answer: ask again later.
+    Expired, // The key is older than the journal's entries, so it may have run.
+    WrongEpoch, // The receiver is not the owner at that epoch or has no journal; read the log and retry.
+    Undecided, // The epoch is sealed, the key was issued in the future, or the request timed out; retry later.
 };
 
 struct PermitReply {
@@ -69,7 +69,7 @@
     JournalEntry entry;
 };
 
-// Owner to witness: keep this entry before I act on it.
+// Sent by the owner to the witness, which must store the entry before the owner acts on it.
 struct RecordRequest {
     uint32_t slot = 0;
     uint32_t epoch = 0;
@@ -85,12 +85,12 @@
     bool kept = false;
 };
 
-// The frozen journal of a sealed epoch, from a survivor to the partner that it will propose.
+// Part of the frozen journal of a sealed epoch, from a member to a node of the pair that it is going to propose.
 struct CopyRequest {
     uint32_t slot = 0;
-    uint32_t epoch = 0; // The sealed one.
+    uint32_t epoch = 0; // The sealed epoch.
     NodeInfo proposer;
-    uint32_t part = 0; // Large journals travel in parts.
+    uint32_t part = 0; // Large journals are sent in parts.
     uint32_t parts = 1;
     std::vector<JournalEntry> entries;
     WallTime forgottenBefore {}; // Entries of keys issued before this may have been dropped from the journal.
--- a/src/coordination/slotplan.cpp
+++ b/src/coordination/slotplan.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // Spreads the slots of equally loaded nodes differently for each slot, the same on every node.
+    // Breaks ties between equally loaded nodes by a hash that differs between slots and is the same on every node.
     uint64_t rank(uint32_t slot, const NodeInfo& node) { return hash64(node.id.name, slot); }
 
     bool isGone(const NodeInfo& member, const std::set<NodeId>& provenGone)
--- a/src/coordination/slotplan.h
+++ b/src/coordination/slotplan.h
@@ -14,14 +14,14 @@
 
 namespace Kumquatpick {
 
-// Chooses the nodes of slots: the least loaded ones, in another zone than the partner where there is one.
-// Which nodes are chosen is no matter of safety.
+// Selects the nodes of slots: the least loaded ones, in a different availability zone than the partner if possible.
+// Safety does not depend on the selection.
 class SlotPlan {
 public:
-    // loads: in how many slots each node is.
+    // loads: the number of slots that each node is a member of.
     SlotPlan(std::span<const NodeInfo> live, const std::map<NodeId, uint32_t>& loads);
 
-    // A live node other than those named, to stand beside partner; nullptr if there is none. Counts it.
+    // Selects a live node other than partner and others, and adds one to its load; nullptr if there is none.
     const NodeInfo* choose(uint32_t slot, const NodeInfo& partner, std::span<const NodeId> others = {});
 
 private:
@@ -29,9 +29,9 @@
     std::vector<uint32_t> m_loads;
 };
 
-// The new start of a slot whose members are all proved gone; nothing without that proof. Both journals are
-// lost, so that each key issued before it may have run. The margin covers the keys that the old owner accepted
-// from a little ahead of its own clock, and the difference between its clock and this one.
+// The change that resets a slot whose members are all proven gone; nothing without that proof. Both journals are lost,
+// so each key issued before the reset may have run. The reset time is later than now by twice the clock skew: once for
+// keys that the old owner accepted from ahead of its own clock, once for the difference between its clock and this one.
 std::optional<SlotChange> resetChange(uint32_t slot, const SlotAssignment&, const std::set<NodeId>& provenGone,
     WallTime now, Milliseconds clockSkew, const SlotGuards& = {});
 
--- a/src/coordination/slotservice.cpp
+++ b/src/coordination/slotservice.cpp
@@ -25,7 +25,7 @@
         shardOf(slot).members.emplace_back(slot, this->self, limits);
 }
 
-// Messages to this node itself take the same path as others, without the transport.
+// Messages to this node are handled directly, without the transport.
 void SlotService::Impl::perform(SlotActions actions)
 {
     while (!actions.empty()) {
@@ -97,7 +97,7 @@
     shard.waiters.erase(found);
 }
 
-// With no owner yet there is nobody to ask; the next tick or assignment does.
+// Sends nothing while the slot has no owner; the next tick or assignment sends the request.
 void SlotService::Impl::askOwner(const Shard& shard, const PermitWaiter& waiter, SlotActions& actions) const
 {
     const SlotAssignment& assignment = shard.members[waiter.slot / shardCount].assignment();
@@ -231,7 +231,7 @@
     return !left;
 }
 
-// Keys are spread over this node's own slots, if it has any that decide.
+// Keys are distributed round-robin over the slots that this node owns, or over others if it owns no usable slot.
 std::string SlotService::mintKey(WallTime now)
 {
     Impl& impl = *m_impl;
--- a/src/coordination/slotservice.h
+++ b/src/coordination/slotservice.h
@@ -11,50 +11,53 @@
 
 namespace Kumquatpick {
 
-// This node's part in every slot: journals of the slots it owns or witnesses, and the permits that its own
-// callers wait for. Free of sockets: messages leave through the sender and come in through deliver().
-// Thread-safe: state is split by slot, each shard under its own lock; neither function is called under one.
+// The slot state machines of this node, and the permit and void requests of its own callers. Uses no sockets: the
+// sender transmits outgoing messages, and deliver() takes incoming ones. Thread-safe: the state is sharded by slot,
+// with one lock per shard. The sender and the proposer are called without holding a shard's lock.
 class SlotService {
 public:
     using Sender = std::function<void(const NodeInfo& to, const SlotMessage&)>;
     using Proposer = std::function<void(const SlotsProposal&)>;
 
     struct Settings {
-        Milliseconds retention { 3'600'000 }; // How long a key is remembered; older ones are Expired.
-        Milliseconds resend { 100 }; // Between repeats of an unanswered message.
-        Milliseconds patience { 1'500 }; // permit() and makeVoid() wait no longer, however late the deadline.
-        Milliseconds partnerGrace { 1'000 }; // A partner gone from the live nodes for so long is replaced.
-        Milliseconds aloneGrace { 5'000 }; // With no other node for so long, slots go on without a witness.
-        Milliseconds repropose { 2'000 }; // Between repeats of a proposal that the log has not decided.
-        Milliseconds abandonedFor { 60'000 }; // How long the void of an arrival that gave up is asked for.
-        Milliseconds clockSkew { 2'000 }; // Two nodes' wall clocks differ by less than this.
+        Milliseconds retention { 3'600'000 }; // Keys older than this may be dropped and are answered with Expired.
+        Milliseconds resend { 100 }; // Interval between repeats of an unanswered message.
+        Milliseconds patience { 1'500 }; // Maximum wait of permit() and makeVoid(), even if the deadline is later.
+        Milliseconds partnerGrace { 1'000 }; // A partner missing from the live nodes for this long is replaced.
+        Milliseconds aloneGrace { 5'000 }; // After this long without another live node, slots run without a witness.
+        Milliseconds repropose { 2'000 }; // Interval between repeats of a proposal that the log has not decided.
+        Milliseconds abandonedFor { 60'000 }; // How long void requests of an arrival that gave up are repeated.
+        Milliseconds clockSkew { 2'000 }; // Upper bound of the difference between two nodes' wall clocks.
     };
 
     SlotService(NodeInfo self, Settings, Sender, Proposer);
     ~SlotService();
 
-    // From any thread: another node's message.
+    // Handles a message from another node. May be called from any thread.
     void deliver(const SlotMessage&);
 
-    // Blocks until decided, or until the deadline or the patience ends; Undecided means that nobody may say
-    // "not run" yet. A grant that arrives after that is never used: the attempt is voided in the background,
-    // so that the caller's next one may run.
+    // Requests permission to dispatch. Blocks until decided, until the deadline or for at most `patience`. Undecided
+    // means that "not run" must not be reported yet. A grant that arrives after the time-out is never used: the attempt
+    // is voided in the background, so that the caller's next attempt can run.
     PermitOutcome permit(const RequestKey&, ArrivalId, MonotonicTime deadline);
-    // Blocks until the refusal is kept at owner and witness, or as above. The arrival must not have been
-    // dispatched, whether or not it was granted, and never may be afterwards.
+    // Voids this attempt and all earlier ones. Blocks until owner and witness have stored the refusal, with the same
+    // time-outs as permit(). The arrival must not have been dispatched, whether or not it was granted, and must not be
+    // dispatched afterwards.
     PermitOutcome makeVoid(const RequestKey&, ArrivalId, MonotonicTime deadline);
 
-    // The log's fold moved on: these slots have new assignments.
+    // Applies the new assignments of these slots, as decided by the log.
     void assignmentsChanged(const SlotTable&, std::span<const uint32_t> slots);
-    // Resends, proposes replacements for partners that are gone, drops entries past retention.
-    // live: the nodes thought alive and not stopping, to choose partners from (a guess; safety never rests on it).
-    // provenGone: incarnations that can never act again (a newer one answered at their address).
-    // Keys are judged by the wall time of the latest tick, so none is granted before the first.
+    // Resends messages, proposes replacements for missing partners and drops entries older than the retention.
+    // live: the nodes believed alive and not stopping, from which partners are chosen. Safety does not depend on it.
+    // provenGone: incarnations that can never act again, because a newer one answered at their address.
+    // The age of a key is measured by the wall time of the latest tick, so no key is granted before the first tick.
     void tick(MonotonicTime now, WallTime wall, std::span<const NodeInfo> live, std::span<const NodeId> provenGone);
-    // A planned stop: hands every slot over; true once this node is in none. Call it until then, with ticks.
+    // Hands over all slots before a planned stop. Returns true once this node is a member of no slot. Must be called
+    // repeatedly until then, and tick() must still be called.
     bool handOver(std::span<const NodeInfo> live);
 
-    // A fresh key in a slot whose owner and witness are alive, best this node itself; empty if there is none.
+    // Generates a key in a slot whose owner and witness are live, preferably owned by this node; empty if there is
+    // none.
     std::string mintKey(WallTime now);
 
 private:
--- a/src/coordination/slotserviceimpl.h
+++ b/src/coordination/slotserviceimpl.h
@@ -16,7 +16,7 @@
 
 namespace Kumquatpick {
 
-// An arrival whose thread waits, or whose void is still asked for after it stopped waiting.
+// An arrival whose thread is waiting, or whose void requests are repeated after that thread timed out.
 struct PermitWaiter {
     explicit PermitWaiter(SlotArrival arrival)
         : arrival(std::move(arrival))
@@ -28,29 +28,29 @@
     std::optional<PermitOutcome> outcome;
     std::condition_variable decided;
     MonotonicTime lastSent {};
-    MonotonicTime abandonedAt = MonotonicTime::max(); // Somebody waits until then.
+    MonotonicTime abandonedAt = MonotonicTime::max(); // max() while the thread is waiting.
 };
 
-// What SlotService keeps. Requests are in slotservice.cpp, what it does from time to time in slotupkeep.cpp.
+// The state of SlotService. Request handling is in slotservice.cpp, periodic maintenance in slotupkeep.cpp.
 struct SlotService::Impl {
     static constexpr size_t shardCount = 64;
 
     struct Shard {
         std::mutex mutex;
-        std::vector<SlotMember> members; // Slots shard, shard + shardCount, ...
+        std::vector<SlotMember> members; // Slots shard index, shard index + shardCount, ...
         std::map<ArrivalId, std::shared_ptr<PermitWaiter>> waiters;
     };
 
-    // What one tick decides by.
+    // The inputs and results of one call of tick().
     struct Tick {
         MonotonicTime now;
         WallTime wall;
         std::span<const NodeInfo> live;
         SlotPlan plan;
         std::set<NodeId> liveIds {};
-        size_t others = 0; // Live nodes but this one.
-        bool mayBeAlone = false; // No other node was live for long enough.
-        bool startsSlots = false; // Slots without any member are this node's to propose now.
+        size_t others = 0; // The number of live nodes other than this one.
+        bool mayBeAlone = false; // No other node has been live for aloneGrace, so slots may run without a witness.
+        bool startsSlots = false; // This node proposes members for the slots that have none.
         bool resends = false;
         bool reproposes = false;
         bool forgets = false;
@@ -97,14 +97,15 @@
     std::vector<SlotChange> changes;
 
     std::mutex loadsMutex;
-    std::map<NodeId, uint32_t> loads; // In how many slots each node is.
+    std::map<NodeId, uint32_t> loads; // The number of slots that each node is a member of.
 
-    std::mutex tickMutex; // One tick at a time; guards what follows.
+    std::mutex tickMutex; // Held during a tick; guards the members below, up to mintMutex.
     std::set<NodeId> provenGone;
     std::set<NodeId> lastLive;
     std::map<NodeId, MonotonicTime> missingSince;
-    std::map<uint32_t, uint64_t> lastAwaited; // By slot: what its partner had yet to take at the latest proposal time.
-    MonotonicTime liveSince {}; // The live nodes are the same since then.
+    // By slot: the missing parts, or the oldest unacknowledged serial, when proposals were last repeated.
+    std::map<uint32_t, uint64_t> lastAwaited;
+    MonotonicTime liveSince {}; // When the set of live nodes last changed.
     MonotonicTime orphansSince = MonotonicTime::max();
     MonotonicTime lastResend {};
     MonotonicTime lastRepropose {};
--- a/src/coordination/slottable.cpp
+++ b/src/coordination/slottable.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-    // A reset is proved by its proposer; anything else must come from a member, as only a member has the journal.
-    // Both copies of a journal in one process would be one copy.
+    // The proposer of a reset has verified that both members are gone. Any other change after the first must come from
+    // a member, because only members have the journal. Owner and witness must be different nodes, or a single crash
+    // would lose both copies of the journal.
     bool isAdmissible(const SlotAssignment& current, const SlotChange& change, const NodeId& proposer)
     {
         if (change.expectedEpoch != current.epoch)
--- a/src/coordination/slottable.h
+++ b/src/coordination/slottable.h
@@ -8,30 +8,30 @@
 
 namespace Kumquatpick {
 
-// Fixed for the life of a deployment: keys hash to slots, and minted keys name theirs.
+// Must never change during the life of a deployment, because keys hash to slots and minted keys contain their slot.
 constexpr uint32_t slotCount = 1024;
 
 uint32_t slotOf(std::string_view key);
 
-// Who may grant permits for a slot. Epoch 0 means that nobody was named yet. A slot whose witness has an empty
-// name has none: the system has a single node left.
+// The members of a slot; its owner grants permits. Epoch 0 means that none were assigned yet. An empty witness name
+// means that the slot has no witness, because a single node was left.
 struct SlotAssignment {
     uint32_t epoch = 0;
     NodeInfo owner;
     NodeInfo witness;
-    WallTime lostBefore {}; // Keys issued before this may have run; the epoch that set it lost its journal.
-    NodeId proposer {}; // Whose frozen journal this epoch starts from.
-    bool startsEmpty = false; // The first epoch, and one after both members were lost.
+    WallTime lostBefore {}; // Keys issued before this may have run, because a reset lost the journal.
+    NodeId proposer {}; // The node whose frozen journal this epoch starts from.
+    bool startsEmpty = false; // True for the first epoch and after a reset because both members were lost.
 
     bool operator==(const SlotAssignment&) const = default;
 };
 
-// The fold's part about slots: a plain function of the records seen so far.
+// The assignments of all slots, a deterministic function of the log records applied so far.
 class SlotTable {
 public:
     const SlotAssignment& assignment(uint32_t slot) const { return m_assignments[slot]; }
-    // Applies each change that still names the slot's epoch and comes from one of its members, or resets it;
-    // returns the slots that changed.
+    // Applies each change that names the slot's current epoch and that is its first assignment, a reset, or proposed
+    // by one of its members. Returns the slots that changed.
     std::vector<uint32_t> apply(const SlotsProposal&);
     void restore(uint32_t slot, SlotAssignment);
 
--- a/src/coordination/slotupkeep.cpp
+++ b/src/coordination/slotupkeep.cpp
@@ -31,8 +31,8 @@
     return tick;
 }
 
-// A reset rests on this proof alone, so it is not taken for a node that is seen live, nor for this one: where
-// the two contradict each other, the proof may be wrong.
+// Resets depend on this proof alone. It is therefore rejected for nodes in the live list and for this node: if the two
+// sources contradict each other, the proof may be wrong.
 void SlotService::Impl::noteGone(const Tick& tick, std::span<const NodeId> gone)
 {
     provenGone.insert(gone.begin(), gone.end());
@@ -40,7 +40,7 @@
     std::erase_if(provenGone, [&](const NodeId& id) { return tick.liveIds.contains(id); });
 }
 
-// Since when partners are gone, and since when the set of live nodes is what it is.
+// Records since when each partner is missing from the live nodes, and when the set of live nodes last changed.
 void SlotService::Impl::noteMissing(const Tick& tick)
 {
     std::set<NodeId> partners;
@@ -65,7 +65,7 @@
     lastLive = tick.liveIds;
 }
 
-// Gone for long enough to be replaced, which is no proof: sealing makes a wrong guess harmless.
+// True if the node is to be replaced. It may still be alive; sealing makes that case safe.
 bool SlotService::Impl::isGone(const NodeInfo& node, const Tick& tick) const
 {
     if (provenGone.contains(node.id))
@@ -74,8 +74,9 @@
     return missing != missingSince.end() && tick.now - missing->second >= settings.partnerGrace;
 }
 
-// Any node may propose a slot without members. The first live one does, once the nodes that start with it are
-// there to share the slots; the others only if it seems not to.
+// Any node may propose members for a slot that has none. The live node with the lowest id does so, once the set of
+// live nodes has been stable for partnerGrace, so that slots are spread over nodes that start at the same time. Other
+// nodes do so only if slots stay without members for three times the repropose interval.
 bool SlotService::Impl::startsSlots(const Tick& tick)
 {
     if (isLeaving || tick.now - liveSince < settings.partnerGrace)
@@ -99,7 +100,8 @@
     actions.emplace_back(std::move(change));
 }
 
-// The partner seems alive and yet keeps no record, or the proposed one takes no copy.
+// True if the partner acknowledged no record, or the proposed pair no journal part, for a whole repropose interval,
+// although the partner is listed as live.
 bool SlotService::Impl::isStuck(uint32_t slot, const SlotMember& member, const Tick& tick)
 {
     if (!tick.reproposes)
@@ -152,7 +154,8 @@
         startSlot(slot, change.value_or(SlotChange {}), tick, actions);
 }
 
-// What an arrival left behind is of less haste, and may be much in an outage.
+// Void requests of arrivals that gave up are repeated ten times less often: they are less urgent, and an outage can
+// leave many of them.
 void SlotService::Impl::tickWaiters(Shard& shard, const Tick& tick, SlotActions& actions) const
 {
     auto isAbandoned = [](const PermitWaiter& waiter) { return waiter.abandonedAt != MonotonicTime::max(); };
@@ -169,7 +172,7 @@
     }
 }
 
-// Whatever this node has of the slot goes to both of the next pair; the partner is the owner if it lives on.
+// Proposes a pair without this node and copies the journal to both nodes. The partner becomes the owner if it is live.
 void SlotService::Impl::leave(
     uint32_t slot, SlotMember& member, SlotPlan& plan, std::span<const NodeInfo> live, SlotActions& actions) const
 {
--- a/tests/coordination/slot_model_test.cpp
+++ b/tests/coordination/slot_model_test.cpp
@@ -108,7 +108,8 @@
         return bounds;
     }
 
-    // Both members propose the same partner; the loser's copy must not stand for the winner's.
+    // Both members propose the same partner. The copy of the one whose proposal is rejected must not be used instead of
+    // the other's.
     SlotModelBounds bothPropose()
     {
         SlotModelBounds bounds = calm();
@@ -141,7 +142,7 @@
         return bounds;
     }
 
-    // The key is issued three seconds after what might be a reset.
+    // The key is issued three seconds after the earliest time of a reset.
     SlotModelBounds resetAndLaterKey()
     {
         SlotModelBounds bounds = calm();
@@ -160,7 +161,7 @@
         return bounds;
     }
 
-    // Each reading of a clock gives one time or another, past the retention.
+    // Each clock reading gives either the start time or a time past the retention.
     SlotModelBounds forgetting()
     {
         SlotModelBounds bounds = calm();
@@ -170,7 +171,7 @@
         return bounds;
     }
 
-    // The witness, whose clock is ahead, forgets and hands the slot to nodes whose clocks are not.
+    // The witness, whose clock is ahead, drops entries and hands the slot over to nodes whose clocks are not ahead.
     SlotModelBounds forgettingAcrossEpochs()
     {
         SlotModelBounds bounds = forgetting();
@@ -184,14 +185,15 @@
 
     void print(std::string_view name, const SlotModelResult& result)
     {
-        fmt::print("{}: {} states, {} steps, depth {}, {}; {} states with a dispatch, {} with a refusal; epoch {}\n",
-            name, result.states, result.steps, result.depth, result.isComplete ? "all" : "not all", result.dispatches,
-            result.refusals, result.epochsReached);
+        fmt::print(
+            "{}: {} states, {} steps, depth {}, {}; {} states with a dispatch, {} with a refusal; highest epoch {}\n",
+            name, result.states, result.steps, result.depth, result.isComplete ? "complete" : "incomplete",
+            result.dispatches, result.refusals, result.epochsReached);
         for (const std::string& line : result.trace)
             fmt::print("    {}\n", line);
     }
 
-    // Several guards are shown within the same bounds; with all guards on, those are run once.
+    // Several guard tests use the same bounds. The exploration with all guards enabled is run once and shared.
     std::shared_future<SlotModelResult> resultOf(BoundsOf boundsOf)
     {
         static std::map<BoundsOf, std::shared_future<SlotModelResult>> results;
@@ -210,10 +212,11 @@
 
 class SlotModelSpace : public testing::TestWithParam<SpaceCase> {
 protected:
-    // The largest space is explored beside the others.
+    // The largest space is explored in parallel with the others.
     static void SetUpTestSuite() { resultOf(oneCrash); }
 };
 
+// Explores each space completely and checks that no interleaving violates at-most-once execution.
 TEST_P(SlotModelSpace, KeepsItsPromisesInEveryInterleaving)
 {
     const SlotModelResult result = resultOf(GetParam().boundsOf).get();
@@ -231,7 +234,7 @@
         SpaceCase { "BothLostWhileReplaced", bothLostWhileReplaced }, SpaceCase { "OneCrash", oneCrash }),
     [](const auto& info) { return info.param.name; });
 
-// Guards that stand in for each other are taken away together.
+// Guards that cover for each other are disabled together.
 struct GuardCase {
     const char* name;
     std::vector<bool SlotGuards::*> guards;
@@ -240,6 +243,7 @@
 
 class SlotModelGuard : public testing::TestWithParam<GuardCase> { };
 
+// Guards against a model checker that finds no violations: with a guard disabled, it must find one.
 TEST_P(SlotModelGuard, WithoutItAPromiseIsBroken)
 {
     const GuardCase& guardCase = GetParam();
@@ -250,7 +254,7 @@
     for (auto guard : guardCase.guards)
         bounds.guards.*guard = false;
     SlotModelResult result = exploreSlotModel(bounds);
-    fmt::print("without {}: {} after {} steps at the least ({} states); with it none in all {} states\n",
+    fmt::print("without {}: {} after at least {} steps ({} states); with it no violation in all {} states\n",
         guardCase.name, result.violation, result.depth, result.states, whole.states);
     for (const std::string& line : result.trace)
         fmt::print("    {}\n", line);
@@ -280,7 +284,7 @@
         GuardCase { "CopyTellsWhatIsForgotten", { &SlotGuards::copyTellsWhatIsForgotten }, forgettingAcrossEpochs }),
     [](const auto& info) { return info.param.name; });
 
-// Beyond what can be finished: two crashes, three epochs, three arrivals, every choice of partner.
+// Too large to be explored completely: two crashes, three epochs, three arrivals and every choice of partner.
 SlotModelBounds large()
 {
     SlotModelBounds bounds;
@@ -293,24 +297,26 @@
     return bounds;
 }
 
-// Longer runs are for the hand; CI takes a short one.
+// CI uses the default size; the environment variable allows longer manual runs.
 size_t sizeFrom(const char* variable, size_t usual)
 {
     const char* wanted = std::getenv(variable);
     return wanted ? std::stoull(wanted) : usual;
 }
 
+// Checks interleavings that lie deeper in the large space than complete exploration reaches.
 TEST(SlotModel, KeepsItsPromisesInLongRandomWalks)
 {
     size_t steps = sizeFrom("KUMQUATPICK_SLOT_WALK_STEPS", 300'000);
     SlotModelResult result = walkSlotModel(large(), 20261202, 120, steps);
-    print("walks", result);
+    print("random walks", result);
     EXPECT_EQ(result.violation, "");
     EXPECT_EQ(result.epochsReached, 3U);
     EXPECT_GT(result.dispatches, 0U);
     EXPECT_GT(result.refusals, 0U);
 }
 
+// Checks all interleavings of the large space up to a limited number of states.
 TEST(SlotModel, KeepsItsPromisesInTheFirstStatesOfALargeSpace)
 {
     SlotModelBounds bounds = large();
--- a/tests/coordination/slotmeasure_test.cpp
+++ b/tests/coordination/slotmeasure_test.cpp
@@ -8,7 +8,7 @@
 #include <malloc.h>
 #include <numeric>
 
-// Prints the figures of docs/AT-MOST-ONCE.md; only what does not depend on the machine is checked.
+// Prints the figures in docs/AT-MOST-ONCE.md. Checks only values that do not depend on the machine.
 
 namespace Kumquatpick {
 
@@ -28,7 +28,7 @@
 
     std::string callerKey(size_t index) { return fmt::format("3f2b8c1e-77aa-4d0e-9c55-{:012x}", index); }
 
-    // An owner and a witness that pass each other's messages at once.
+    // An owner and a witness whose messages to each other are delivered immediately.
     class Pair {
     public:
         Pair()
@@ -68,7 +68,7 @@
         std::array<SlotMember, 2> m_members;
     };
 
-    // Services that agree on a table, without threads: nothing here waits.
+    // Services that share one slot table, without threads and without waiting.
     class Fleet {
     public:
         explicit Fleet(size_t size)
@@ -89,7 +89,7 @@
                 service->assignmentsChanged(m_table, slots);
         }
 
-        // Takes the last node out of the live ones; the log takes no proposal any more.
+        // Removes the last node from the live nodes. The services no longer see assignments, as if the log were down.
         NodeId lose()
         {
             NodeId lost = m_live.back().id;
@@ -118,6 +118,7 @@
 
 } // namespace
 
+// Measures the throughput of permits and the memory per journal entry.
 TEST(SlotMeasure, PermitsAndBytes)
 {
     constexpr size_t permits = 200'000;
@@ -129,12 +130,13 @@
     double seconds = toSeconds(monotonicNow() - start);
     double bytes = static_cast<double>(mallinfo2().uordblks - before) / (2.0 * permits);
     ASSERT_EQ(pair->journal().size(), permits);
-    fmt::print("{:.0f} permits a second and core, owner's and witness's work together; {:.0f} bytes a journal entry "
-               "with its hash table\n",
+    fmt::print("{:.0f} permits per second and core, including the witness's work; {:.0f} bytes per journal entry "
+               "including the hash table\n",
         permits / seconds, bytes);
     EXPECT_LT(bytes, 300);
 }
 
+// Keys that hash to slots of a dead node are refused while the log is down; minted keys must avoid those slots.
 TEST(SlotMeasure, ShareRefusedWithOneOfSevenDeadAndTheLogDown)
 {
     constexpr size_t keys = 100'000;
@@ -158,6 +160,7 @@
     EXPECT_EQ(refusedMinted, 0U);
 }
 
+// Measures a tick in a large deployment, and checks that slots are spread evenly over its nodes.
 TEST(SlotMeasure, TickAt320Nodes)
 {
     Fleet fleet(320);
@@ -174,8 +177,8 @@
         fleet.pass(Milliseconds(100));
         fleet.tick(1);
     }
-    fmt::print("tick at 320 nodes: {:.0f} us; {} to {} slots a node\n", 1e6 * toSeconds(monotonicNow() - start) / ticks,
-        least->second, most->second);
+    fmt::print("tick at 320 nodes: {:.0f} us; {} to {} slots per node\n",
+        1e6 * toSeconds(monotonicNow() - start) / ticks, least->second, most->second);
     EXPECT_EQ(loads.size(), 320U);
     EXPECT_LE(most->second - least->second, 2);
 }
--- a/tests/coordination/slotmodel.cpp
+++ b/tests/coordination/slotmodel.cpp
@@ -25,7 +25,7 @@
     const WallTime modelEpoch { Milliseconds(1'000'000'000) };
     const std::string modelKey = "key";
 
-    // Writes values into one string that is equal only for equal values.
+    // Serializes values into a string that is equal only for equal values.
     class Printer {
     public:
         template <typename Number>
@@ -83,7 +83,7 @@
 
 } // namespace
 
-// Sees the whole of a member's state, to tell whether two are the same.
+// Serializes the complete state of a member, so that equal states can be recognized.
 class SlotMemberPrinter {
 public:
     static std::string print(const SlotMember& m)
@@ -115,7 +115,7 @@
 
     using Id = uint32_t;
 
-    // Gives each distinct value a small number, so that a state of the whole system is a few numbers.
+    // Assigns a small integer to each distinct value, so that a state of the whole system consists of a few integers.
     template <typename Value> class Interned {
     public:
         Id idOf(Value value, std::string printed)
@@ -130,10 +130,10 @@
 
     private:
         std::unordered_map<std::string, Id> m_ids;
-        std::deque<Value> m_values; // References stay valid.
+        std::deque<Value> m_values; // A deque, because growth must not invalidate references.
     };
 
-    // A message on its way to whoever lives at a node, to an arrival, or a proposal on its way to the log.
+    // A message in transit to the current incarnation of a node or to an arrival, or a proposal in transit to the log.
     struct InFlight {
         enum class To : uint8_t {
             Node,
@@ -143,8 +143,8 @@
 
         To to = To::Node;
         uint8_t index = 0;
-        uint32_t epoch = 0; // Of a message to a node.
-        bool countsAfterGivingUp = false; // Of a reply.
+        uint32_t epoch = 0; // Set for a message to a node.
+        bool countsAfterGivingUp = false; // Whether a reply decides an arrival that gave up.
         SlotMessage message;
         SlotsProposal proposal;
         std::string text;
@@ -165,8 +165,8 @@
         std::array<bool, maxArrivals> hasGivenUp {};
         std::array<bool, maxArrivals> hasDispatched {};
         uint8_t crashes = 0;
-        uint8_t toldNotRun = 0; // The highest attempt of which that was said.
-        uint8_t clock = 0; // Where clocks agree.
+        uint8_t toldNotRun = 0; // The highest attempt that was reported as not run.
+        uint8_t clock = 0; // The shared clock's reading, by index; used if clocksAgree.
         Id log = 0;
         std::vector<Id> network; // Sorted.
 
@@ -190,7 +190,7 @@
         }
     };
 
-    // What a member does on one event, remembered, as it is a plain function.
+    // The cached result of one event at a member, which is a deterministic function of both.
     struct MemberStep {
         Id member = 0;
         std::vector<Id> sent;
@@ -201,9 +201,9 @@
         explicit Model(const SlotModelBounds& bounds);
 
         const ModelState& start() const { return m_start; }
-        // Calls visit(next state, description()) for each step that may come next.
+        // Calls visit(next state, describe) for each possible next step; describe() returns the step's description.
         template <typename Visit> void forEachStep(const ModelState&, Visit&&);
-        // Empty if the state keeps what at-most-once promises.
+        // Describes how the state violates at-most-once execution; empty if it does not.
         std::string violation(const ModelState&) const;
         uint32_t epochOf(const ModelState& state) const { return m_logs[state.log].back().epoch; }
 
@@ -227,7 +227,7 @@
         Id internProposal(SlotsProposal);
         bool isUseless(const SlotMessage&) const;
 
-        // Runs the event at a copy of the member, or recalls what came of it.
+        // Runs the event at a copy of the member, or returns the cached result.
         template <typename Run> const MemberStep& stepMember(Id member, Event, uint64_t detail, Run&&);
         ModelState after(const ModelState&, size_t node, const MemberStep&) const;
         bool isChange(const ModelState&, size_t node, const MemberStep&) const;
@@ -264,7 +264,7 @@
         std::map<std::pair<Id, Id>, std::optional<Id>> m_folds;
         std::map<std::tuple<Id, uint8_t, std::array<uint8_t, maxNodes>>, std::optional<Id>> m_resets;
         std::array<std::vector<SlotModelTakeover>, maxNodes> m_takeovers;
-        std::vector<size_t> m_clocks; // All of them, by index.
+        std::vector<size_t> m_clocks; // The indexes of all clock readings.
         SlotTable m_table;
         ModelState m_start;
     };
@@ -339,7 +339,7 @@
         return m_logs.idOf(std::move(log), printer.take());
     }
 
-    // What an arrival makes no difference of.
+    // Maps replies that an arrival does not distinguish to the same value, which reduces the number of states.
     PermitReply normalised(const PermitReply& reply)
     {
         PermitReply same = reply;
@@ -352,7 +352,7 @@
         return same;
     }
 
-    // Replies that change nothing at whoever gets them, at any time.
+    // True for replies that their receiver ignores in every state.
     bool Model::isUseless(const SlotMessage& message) const
     {
         if (auto* reply = std::get_if<RecordReply>(&message))
@@ -425,9 +425,10 @@
             network.insert(place, id);
     }
 
-    // Whether it may still change anything. An arrival that is done hears nothing more, and one that may yet give
-    // up hears only what counts then; a proposal of an epoch that is decided folds to nothing; a member ignores
-    // the epochs that it has left, and no later life of its node is a member in them.
+    // Whether the message can still change the state. An arrival that is done or dispatched ignores all replies, and
+    // one that was granted or gave up ignores replies that do not decide an arrival that gave up. The log rejects
+    // proposals of earlier epochs. A member ignores messages of earlier epochs, in which no later incarnation of its
+    // node is a member.
     bool Model::isHeard(const ModelState& state, Id id) const
     {
         const InFlight& inFlight = m_messages[id];
@@ -474,7 +475,7 @@
         std::erase_if(state.network, [&](Id id) { return !isHeard(state, id); });
     }
 
-    // Questions may come at any time once they may have been asked: late, doubled, at any epoch.
+    // A permit or void request may arrive at any time after it may have been sent, repeatedly and at any epoch.
     template <typename Visit> void Model::questionSteps(const ModelState& state, Visit&& visit)
     {
         const auto& log = m_logs[state.log];
@@ -533,8 +534,9 @@
             const InFlight& inFlight = m_messages[id];
             if (inFlight.to == InFlight::To::Log)
                 continue;
-            auto describe
-                = [&, id] { return fmt::format("message {} to {}", m_messages[id].text, m_messages[id].index); };
+            auto describe = [&, id] {
+                return fmt::format("message {} is delivered to {}", m_messages[id].text, m_messages[id].index);
+            };
             size_t index = inFlight.index;
             if (inFlight.to == InFlight::To::Arrival) {
                 Phase phase = state.phases[index];
@@ -561,7 +563,7 @@
         }
     }
 
-    // The log takes a proposal or never does; nodes read it late.
+    // A proposal may be appended to the log at any time or never; nodes may read the log with any delay.
     template <typename Visit> void Model::logSteps(const ModelState& state, Visit&& visit)
     {
         for (Id id : state.network) {
@@ -581,7 +583,7 @@
             ModelState next = state;
             next.log = *fold->second;
             dropUnheard(next);
-            visit(std::move(next), [&, id] { return "log takes " + m_messages[id].text; });
+            visit(std::move(next), [&, id] { return "log appends " + m_messages[id].text; });
         }
         const auto& log = m_logs[state.log];
         for (size_t node = 0; node < m_bounds.nodes; node++) {
@@ -590,7 +592,7 @@
                 const MemberStep& step = stepMember(state.members[node], Event::Learn, detail,
                     [&](auto& member, auto&) { member.assign(m_logs[state.log][epoch]); });
                 visitAfter(
-                    state, node, step, visit, [&] { return fmt::format("node {} learns epoch {}", node, epoch); });
+                    state, node, step, visit, [&] { return fmt::format("node {} applies epoch {}", node, epoch); });
             }
         }
     }
@@ -601,7 +603,7 @@
         return m_bounds.clocksAgree ? all.subspan(state.clock, 1) : all;
     }
 
-    // All the pairs that a member may propose within the bounds.
+    // Returns the pairs that a member may propose within the bounds.
     std::vector<SlotModelTakeover> Model::takeoversOf(size_t node) const
     {
         std::vector<SlotModelTakeover> all;
@@ -625,7 +627,7 @@
         return all;
     }
 
-    // A member may think its partner gone at any time, rightly or not.
+    // A member may consider its partner gone at any time, whether or not it is.
     template <typename Visit> void Model::memberSteps(const ModelState& state, Visit&& visit)
     {
         for (size_t node = 0; node < m_bounds.nodes; node++) {
@@ -636,7 +638,8 @@
             for (size_t clock : m_bounds.forgets ? clocksOf(state) : std::span<const size_t> {}) {
                 const MemberStep& step = stepMember(
                     id, Event::Forget, clock, [&](auto& m, auto&) { m.forget(modelEpoch + m_bounds.clocks[clock]); });
-                visitAfter(state, node, step, visit, [&] { return fmt::format("node {} forgets", node); });
+                visitAfter(
+                    state, node, step, visit, [&] { return fmt::format("node {} drops expired entries", node); });
             }
             if (!m_bounds.replaces || (member.isSealed() && !m_bounds.rechoosesPartner))
                 continue;
@@ -682,7 +685,7 @@
         visit(std::move(next), [] { return std::string("a reset is proposed"); });
     }
 
-    // Of the last node and the first, as epoch 1 is of the first two.
+    // Assigns the last node and the first one, so that the pair differs from epoch 1, which has the first two.
     std::optional<Id> Model::resetProposal(const ModelState& state)
     {
         auto change = resetChange(modelSlot, m_logs[state.log].back(), goneLives(state),
@@ -755,12 +758,12 @@
                 continue;
             dispatches++;
             if (m_bounds.attempts[i] <= state.toldNotRun)
-                return "an attempt ran that was told not to have run";
+                return "an attempt was dispatched that was reported as not run";
         }
-        return dispatches > 1 ? "the key ran twice" : "";
+        return dispatches > 1 ? "the key was dispatched twice" : "";
     }
 
-    // 64-bit hashes in open addressing: a state is known by its hash alone.
+    // A set of 64-bit hashes with open addressing. States are identified by their hash alone.
     class HashSet {
     public:
         bool insert(uint64_t hash)
@@ -807,7 +810,7 @@
         result.epochsReached = std::max(result.epochsReached, model.epochOf(state));
     }
 
-    // The steps from the start to one state, found again by walking the chain of hashes.
+    // Reconstructs the descriptions of the steps from the initial state along a path of state hashes.
     std::vector<std::string> retrace(Model& model, const std::vector<uint64_t>& path)
     {
         std::vector<std::string> trace;
@@ -877,7 +880,7 @@
 
 }
 
-// The trace of a violation is found by a second run that keeps each state's parent.
+// To save memory, the first run does not store the parent of each state. A second run does, to report the trace.
 SlotModelResult exploreSlotModel(const SlotModelBounds& bounds)
 {
     SlotModelResult result = explore(bounds, false);
@@ -893,7 +896,7 @@
     while (result.steps < totalSteps && result.violation.empty()) {
         ModelState state = model.start();
         for (size_t step = 0; step < stepsPerWalk && result.violation.empty(); step++) {
-            // One of the steps that lead elsewhere, each as likely.
+            // Chooses uniformly among the steps that change the state, by reservoir sampling.
             std::optional<ModelState> chosen;
             uint64_t seen = 0;
             uint64_t here = state.hash();
--- a/tests/coordination/slotmodel.h
+++ b/tests/coordination/slotmodel.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// The pair that a member may seal an epoch for, by node; the number of nodes as witness stands for none.
+// A pair of nodes, by index, for which a member may seal an epoch. A witness equal to the number of nodes means none.
 struct SlotModelTakeover {
     uint32_t epoch = 0;
     size_t proposer = 0;
@@ -17,47 +17,48 @@
     size_t witness = 0;
 };
 
-// What one run of the model explores: one key of one slot, a few arrivals of it, a few nodes. Messages are
-// never taken out of the network, so that each may be lost, late, doubled or out of order; a node that takes
-// no step is paused, and one that crashed comes back as an empty new incarnation or, taking no step, not at all.
+// The bounds of one run of the model checker: one key of one slot, a few arrivals of it and a few nodes. Messages are
+// never removed from the network, so that each may be lost, delayed, duplicated or reordered. A node that takes no
+// step models a paused node. A crashed node restarts as a new incarnation without state; if that takes no step, it
+// models a node that does not restart.
 struct SlotModelBounds {
     SlotGuards guards;
     uint8_t nodes = 3;
-    std::vector<uint32_t> attempts { 1, 1 }; // One arrival each, at an entry node apart from the members.
+    std::vector<uint32_t> attempts { 1, 1 }; // One arrival each, at an entry node that is not a member.
     uint32_t epochs = 2;
     uint8_t crashes = 1;
     std::vector<size_t> mayCrash { 0, 1, 2 };
-    std::vector<size_t> mayGiveUp { 0, 1, 2, 3 }; // By arrival.
-    std::vector<SlotModelTakeover> takeovers; // These and no others, if there are any.
-    bool replaces = true; // A member may think its partner gone at any time.
-    bool rechoosesPartner = false; // A sealed member may propose one partner and then another.
+    std::vector<size_t> mayGiveUp { 0, 1, 2, 3 }; // Indexes of arrivals.
+    std::vector<SlotModelTakeover> takeovers; // If not empty, only these are explored.
+    bool replaces = true; // A member may consider its partner gone at any time.
+    bool rechoosesPartner = false; // A sealed member may change the partner that it proposes.
     bool handsOver = false; // A member may propose a pair without itself.
     bool goesAlone = false; // A member may propose itself without a witness.
-    bool resets = true; // Both members crashed: the slot may start anew.
-    bool forgets = false; // Members drop entries past retention.
-    Milliseconds issued { 0 }; // Of the key, after the time of the model's reset.
-    Milliseconds reissued { 0 }; // Later arrivals claim to be issued so much later than the first.
-    std::vector<Milliseconds> clocks { Milliseconds(0) }; // Each step of a node reads any of these,
-    bool clocksAgree = false; // or all nodes read the same one, from the first on.
-    size_t stateLimit = 0; // Stop after so many states; 0 for none.
+    bool resets = true; // A slot whose members both crashed may be reset.
+    bool forgets = false; // Members may drop entries older than the retention.
+    Milliseconds issued { 0 }; // Issue time of the key, after the start of the model's time.
+    Milliseconds reissued { 0 }; // How much later than the first arrival's the issue time of other arrivals is.
+    std::vector<Milliseconds> clocks { Milliseconds(0) }; // The readings that a node's clock may give at any step.
+    bool clocksAgree = false; // All nodes share one clock, which steps through the readings in order.
+    size_t stateLimit = 0; // The number of states after which exploration stops; 0 means no limit.
 };
 
 struct SlotModelResult {
     size_t states = 0;
     size_t steps = 0;
-    uint32_t depth = 0; // Of the last state, or of the violation: the shortest there is.
-    bool isComplete = false; // No state is left out within the bounds.
+    uint32_t depth = 0; // Of the deepest state, or of the violation; exploration finds the shortest violation.
+    bool isComplete = false; // All states within the bounds were visited.
     std::string violation; // Empty if none was found.
     std::vector<std::string> trace;
-    // That the space is not empty of what it is about:
+    // Show that the explored states include the events under test.
     size_t dispatches = 0;
     size_t refusals = 0;
     uint32_t epochsReached = 0;
 };
 
-// Breadth first, over every interleaving.
+// Explores every interleaving, breadth first.
 SlotModelResult exploreSlotModel(const SlotModelBounds&);
-// Many random walks from the start, of so many steps each, in all so many.
+// Takes random walks from the initial state, of at most stepsPerWalk steps each, up to totalSteps in total.
 SlotModelResult walkSlotModel(const SlotModelBounds&, uint64_t seed, size_t stepsPerWalk, size_t totalSteps);
 
 } // namespace Kumquatpick
--- a/tests/coordination/slotproperty_test.cpp
+++ b/tests/coordination/slotproperty_test.cpp
@@ -25,7 +25,7 @@
         bool hasDispatched = false;
     };
 
-    // Several slots and keys over a few nodes; each choice is one step, or one message that arrives.
+    // Several slots and keys on a few nodes. Each random choice selects one step, such as the delivery of a message.
     class Scenario {
     public:
         explicit Scenario(SlotGuards guards = {})
@@ -73,7 +73,8 @@
             }
         }
 
-        // Everything that is still on its way, a few times over.
+        // Delivers recent messages, applies the assignments and resends, several times. Then dispatches each granted
+        // arrival and lets each undecided one give up.
         void settle()
         {
             for (uint32_t i = 0; i < 400; i++) {
@@ -126,7 +127,7 @@
             uint32_t slot = choice % slots;
             std::string key = "key" + std::to_string(slot) + std::to_string(choice / slots % keysPerSlot);
             uint32_t attempt = m_toldNotRun.contains(key) ? m_toldNotRun[key] + 1 : 1;
-            // The issue time of a key never changes: it is when its first arrival came.
+            // The issue time of a key is the time of its first arrival and never changes.
             WallTime issued = m_issued.try_emplace(key, m_now).first->second;
             ArrivalId id { 1, m_arrivals.size() };
             m_arrivals.push_back({ SlotArrival({ key, attempt, issued }, id, info(choice % nodes), m_guards), slot });
@@ -210,7 +211,8 @@
                 m_table.apply(m_proposals[choice % m_proposals.size()]);
         }
 
-        // Messages stay, so that they come again; the oldest are lost in the end.
+        // Messages stay in the network, so that they may be delivered again. All but the most recent ones count as
+        // lost.
         void deliver(uint32_t choice)
         {
             if (m_network.empty())
@@ -270,7 +272,7 @@
         size_t m_dispatched = 0;
     };
 
-    // The scenario holds a table of all slots, so it is not kept on the stack.
+    // Allocated on the heap, because the scenario contains a table of all slots.
     std::unique_ptr<Scenario> play(uint64_t seed, size_t length, SlotGuards guards)
     {
         Random random(seed);
@@ -293,16 +295,17 @@
 
 } // namespace
 
+// Random steps over several keys and slots must not violate at-most-once execution.
 RC_GTEST_PROP(SlotProperty, ManyKeysAndSlotsKeepTheirPromisesInRandomOrder, ())
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     auto length = *rc::gen::inRange<size_t>(0, 3000);
     auto scenario = play(seed, length, {});
     RC_ASSERT(scenario->keepsPromises());
-    RC_TAG(scenario->dispatched() ? "some ran" : "none ran");
+    RC_TAG(scenario->dispatched() ? "some requests were dispatched" : "no request was dispatched");
 }
 
-// The scenario is not so tame that nothing could go wrong in it.
+// Guards against a scenario that never reaches a violation: with a guard disabled, random steps must find one.
 TEST(SlotProperty, RandomOrderFindsMissingGuards)
 {
     for (auto guard : { &SlotGuards::grantWaitsForWitness, &SlotGuards::voidWaitsForWitness,
@@ -318,7 +321,7 @@
     }
 }
 
-// The owner's records of one key only ever move up, but they come late, doubled and in any order.
+// The owner's records of one key are ordered, but may be delayed, duplicated and reordered in transit.
 RC_GTEST_PROP(SlotProperty, JournalEndsAtTheLatestEntryInAnyOrder, ())
 {
     std::vector<JournalEntry> entries { entryAt(0, 1), entryAt(1, 0), entryAt(1, 2), entryAt(3, 0), entryAt(3, 4) };
@@ -333,6 +336,7 @@
     RC_ASSERT(journal.find("key") == entries[latest]);
 }
 
+// A journal that is split into parts and merged in another order must have the same entries.
 RC_GTEST_PROP(SlotProperty, JournalSurvivesSplittingAndTakingInAnyOrder, ())
 {
     auto keys = *rc::gen::container<std::set<std::string>>(rc::gen::arbitrary<std::string>());
@@ -357,6 +361,7 @@
         RC_ASSERT(copy.find(key) == journal.find(key));
 }
 
+// Minted keys must parse to the values that they were formatted from.
 RC_GTEST_PROP(SlotProperty, MintedKeyNamesItsSlotAndIssueTime, ())
 {
     MintedKey minted;
@@ -370,14 +375,14 @@
     RC_ASSERT(parsed.has_value());
     RC_ASSERT(parsed->issued == minted.issued);
     RC_ASSERT(parsed->toString() == key);
-    // A key changed in one place is another key, or a caller's own; never one that reads back differently.
+    // A key with one changed character must either not parse, or parse to values that format to the same text.
     key[*rc::gen::inRange<size_t>(0, key.size())] = *rc::gen::arbitrary<char>();
     auto changed = MintedKey::parse(key);
     RC_ASSERT(!changed || changed->toString() == key);
     RC_ASSERT(slotOf(key) < slotCount);
 }
 
-// A caller that claims a later issue time on a resend is remembered past that, not past the first.
+// If a caller resends a key with a later issue time, its entry must be retained until that time expires.
 TEST(SlotMember, LaterIssueTimeExtendsWhatIsRemembered)
 {
     SlotLimits limits;
@@ -406,7 +411,7 @@
     EXPECT_EQ(ask(5, later, later + limits.retention + 2 * limits.clockSkew), PermitAnswer::Expired);
 }
 
-// The caller's word for the issue time of a minted key counts for nothing.
+// The issue time encoded in a minted key overrides the one in the request.
 TEST(SlotMember, MintedKeyExpiresByItsOwnTime)
 {
     SlotLimits limits;
--- a/tests/coordination/slotservice_test.cpp
+++ b/tests/coordination/slotservice_test.cpp
@@ -28,7 +28,7 @@
         return settings;
     }
 
-    // Nodes that run real threads and pass messages through each other's inbox, over a log that is a table.
+    // Nodes with real threads that exchange messages through in-memory inboxes. A slot table replaces the log.
     class Cluster {
     public:
         explicit Cluster(size_t size, SlotService::Settings settings = fastSettings())
@@ -56,7 +56,7 @@
             return index;
         }
 
-        // Another life of a node: same name and address, empty memory.
+        // Starts a new incarnation of a node, with the same name and no state.
         size_t restart(size_t index)
         {
             kill(index);
@@ -72,21 +72,21 @@
             halt(*m_nodes[index]);
         }
 
-        // The platform's word that this life is over.
+        // Marks this incarnation as proven gone.
         void proveGone(size_t index)
         {
             std::lock_guard lock(m_mutex);
             m_gone.push_back(m_nodes[index]->info.id);
         }
 
-        // Live, but not to be chosen any more.
+        // The node keeps running, but is no longer listed as live, so that no slot is assigned to it.
         void markStopping(size_t index)
         {
             std::lock_guard lock(m_mutex);
             m_nodes[index]->isLive = false;
         }
 
-        // Two nodes no longer hear each other, though both are live.
+        // Drops all messages between two nodes; both stay listed as live.
         void cut(size_t left, size_t right)
         {
             std::lock_guard lock(m_mutex);
@@ -126,7 +126,7 @@
             return m_nodes.size();
         }
 
-        // Looks again after whatever happens in the cluster.
+        // Checks the predicate after each event in the cluster until it holds or the test times out.
         template <typename Predicate>::testing::AssertionResult eventually(Predicate&& holds)
         {
             MonotonicTime end = monotonicNow() + giveUpTestAfter;
@@ -138,7 +138,7 @@
                 lock.lock();
                 m_changed.wait_for(lock, Milliseconds(20));
             }
-            return ::testing::AssertionFailure() << "did not come to hold";
+            return ::testing::AssertionFailure() << "condition did not hold within 30 s";
         }
 
         ::testing::AssertionResult allAssigned()
@@ -296,7 +296,7 @@
 
     ArrivalId arrival(uint64_t serial) { return { 1, serial }; }
 
-    // Waits until the slot is in working order as seen from that node, whose patience may be short.
+    // Waits until a permit request from that node is granted in the slot. The service's own time-out may be short.
     ::testing::AssertionResult grantsIn(Cluster& cluster, size_t node, uint32_t slot)
     {
         uint32_t serial = 0;
@@ -309,6 +309,7 @@
 
 } // namespace
 
+// The first assignment must fit into few log records and place each pair in two availability zones.
 TEST(SlotService, FirstAssignmentIsFewRecordsSpreadOverZones)
 {
     SlotService::Settings settings = fastSettings();
@@ -326,6 +327,7 @@
         EXPECT_GT(count, static_cast<int>(slotCount) / 6) << id.name;
 }
 
+// Of two concurrent permit requests for one key, exactly one must be granted.
 TEST(SlotService, OfTwoArrivalsOfOneKeyOneIsGranted)
 {
     Cluster cluster(3);
@@ -344,6 +346,7 @@
     }
 }
 
+// A voided attempt must never be granted, while the next attempt may be; only the holder can void a grant.
 TEST(SlotService, RefusalVoidsTheAttemptAndNamesWhatMayRun)
 {
     Cluster cluster(3);
@@ -358,7 +361,7 @@
     EXPECT_EQ(own.answer, PermitAnswer::Voided);
 }
 
-// The survivor seals, copies its journal to a new partner and proposes; the new epoch knows the grant.
+// If the owner crashes, the witness replaces it, and the new epoch must still contain the grant.
 TEST(SlotService, NewEpochRemembersAGrantWhenTheOwnerIsLost)
 {
     Cluster cluster(4);
@@ -379,6 +382,7 @@
     EXPECT_EQ(cluster[witness].permit(keyed("new"), arrival(4), soon()).answer, PermitAnswer::Granted);
 }
 
+// If both members crash, the slot must be reset only if both are proven gone, and earlier keys must expire.
 TEST(SlotService, BothLostStartAnewOnlyOnProofAndOldKeysMayHaveRun)
 {
     SlotService::Settings settings = fastSettings();
@@ -409,7 +413,8 @@
     EXPECT_EQ(cluster[other].makeVoid(request, arrival(++serial), soon()).answer, PermitAnswer::Expired);
 }
 
-// With the log down and a node dead, slots of two live members work on, and minted keys name only such.
+// With the log unreachable and a node dead, slots with two live members must keep granting, and minted keys must be in
+// such slots.
 TEST(SlotService, LogOutageLeavesSlotsOfLiveMembersWorking)
 {
     SlotService::Settings settings = fastSettings();
@@ -439,7 +444,7 @@
             undecided = hashed;
     }
     ASSERT_FALSE(undecided.empty());
-    // Once the log is back the abandoned attempt is voided, and the caller's next one runs.
+    // Once the log is reachable again, the attempt that timed out is voided, and the caller's next attempt is granted.
     cluster.setLogReachable(true);
     PermitOutcome again;
     ASSERT_TRUE(cluster.eventually([&] {
@@ -450,6 +455,7 @@
     EXPECT_EQ(cluster[2].permit(keyed(undecided, 2), arrival(++serial), soon()).answer, PermitAnswer::Granted);
 }
 
+// Handing slots over before a planned stop must preserve their journals.
 TEST(SlotService, PlannedStopHandsEverySlotOverWithItsJournal)
 {
     Cluster cluster(4);
@@ -472,7 +478,7 @@
     }
 }
 
-// Everybody says that the witness is live, and yet it keeps nothing.
+// A witness that is listed as live but acknowledges no records must be replaced.
 TEST(SlotService, WitnessThatDoesNotAnswerIsReplaced)
 {
     Cluster cluster(4);
@@ -487,7 +493,7 @@
     EXPECT_NE(cluster.assignment(slot).witness.id, before.witness.id);
 }
 
-// A single node grants without a witness; after its restart, what it had granted may have run.
+// A single node grants without a witness. After its restart, keys issued before must expire, because they may have run.
 TEST(SlotService, LoneNodeForgetsByARestartAndSaysSo)
 {
     SlotService::Settings settings = fastSettings();
@@ -507,7 +513,7 @@
     ASSERT_TRUE(cluster.eventually([&] { return !cluster[next].mintKey(wallNow()).empty(); }));
     ASSERT_TRUE(grantsIn(cluster, next, slotOf("fresh")));
     EXPECT_EQ(cluster[next].permit(keyed("fresh"), arrival(++serial), soon()).answer, PermitAnswer::Granted);
-    // A second node comes and becomes the witness of every slot.
+    // A second node starts and becomes the witness of every slot.
     cluster.start("n1", "zone1");
     ASSERT_TRUE(cluster.eventually([&] { return cluster.assignment(slotOf("fresh")).witness.id.name == "n1"; }));
     ASSERT_TRUE(cluster.eventually([&] {
@@ -515,7 +521,7 @@
     }));
 }
 
-// A word that both members are gone is not believed while either is seen live: it can't be true of both lives.
+// A slot must not be reset while one of its members is listed as live, even if both are reported as proven gone.
 TEST(SlotService, LiveMembersAreNotReset)
 {
     std::vector<NodeInfo> nodes(3);
@@ -543,7 +549,7 @@
     };
     tickWith(nodes);
     EXPECT_EQ(resets, 0U);
-    // Seen from a list of others only, a node is not alone while there are any.
+    // A live list without this node itself must not make the node treat itself as the only one.
     tickWith(std::span(nodes).subspan(1, 1));
     EXPECT_EQ(resets, 0U);
     std::vector<NodeInfo> fresh { nodes[2], nodes[2] };
