--- a/src/caller/outcome.cpp
+++ b/src/caller/outcome.cpp
@@ -110,12 +110,12 @@
 // Another arrival of the key has the permit. Its node has the answer, or will have.
 Serving::Ending Serving::answerOfHolder(const JournalEntry& entry)
 {
-    if (entry.grantedAt.id == m_parts.self.id)
+    if (entry.holderNode.id == m_parts.self.id)
         return ownEarlierArrival(entry);
     RequestTrail::Hop hop(*m_trail, threadRandom(), "fetch-answer");
-    std::string peer = entry.grantedAt.peerAddress.toString();
+    std::string peer = entry.holderNode.peerAddress.toString();
     hop.setPeer(peer);
-    auto settled = settle([&] { return m_parts.fetchAnswer(entry.grantedAt, answerKey().lookup()); });
+    auto settled = settle([&] { return m_parts.fetchAnswer(entry.holderNode, answerKey().lookup()); });
     auto* answer = std::get_if<StoredAnswer>(&settled);
     hop.end(answer ? "asked" : describe(std::get<Error>(settled)), !answer);
     if (answer && answer->phase == StoredAnswer::Phase::Finished)
--- a/src/caller/request.cpp
+++ b/src/caller/request.cpp
@@ -87,7 +87,7 @@
     std::optional<WallTime> parseIssued(std::string_view key, const httplib::Headers& headers)
     {
         if (auto minted = MintedKey::parse(key))
-            return minted->issued;
+            return minted->issuedAt;
         auto issued = numberOr<int64_t>(headers, "Kumquatpick-Issued", std::nullopt);
         if (!issued || *issued <= 0)
             return std::nullopt;
--- a/src/coordination/journal.cpp
+++ b/src/coordination/journal.cpp
@@ -16,7 +16,7 @@
 void Journal::keep(const JournalEntry& entry)
 {
     Kept& kept = m_entries[entry.key];
-    kept.issued = std::max(kept.issued, entry.issued);
+    kept.issued = std::max(kept.issued, entry.issuedAt);
     if (std::pair(entry.voidedUpTo, entry.grantedAttempt) >= std::pair(kept.voidedUpTo, kept.grantedAttempt))
         replace(entry);
 }
@@ -24,11 +24,11 @@
 void Journal::replace(const JournalEntry& entry)
 {
     Kept& kept = m_entries[entry.key];
-    kept.issued = std::max(kept.issued, entry.issued);
+    kept.issued = std::max(kept.issued, entry.issuedAt);
     kept.voidedUpTo = entry.voidedUpTo;
     kept.grantedAttempt = entry.grantedAttempt;
     kept.grantedTo = entry.grantedTo;
-    kept.node = indexOf(entry.grantedAt);
+    kept.node = indexOf(entry.holderNode);
 }
 
 void Journal::forget(WallTime before)
@@ -72,11 +72,11 @@
 {
     JournalEntry entry;
     entry.key = key;
-    entry.issued = kept.issued;
+    entry.issuedAt = kept.issued;
     entry.voidedUpTo = kept.voidedUpTo;
     entry.grantedAttempt = kept.grantedAttempt;
     entry.grantedTo = kept.grantedTo;
-    entry.grantedAt = m_nodes[kept.node];
+    entry.holderNode = m_nodes[kept.node];
     return entry;
 }
 
--- a/src/coordination/slotarrival.cpp
+++ b/src/coordination/slotarrival.cpp
@@ -6,42 +6,43 @@
 
 namespace {
 
-    template <typename Question>
-    Question ask(uint32_t slot, uint32_t epoch, const RequestKey& request, ArrivalId arrival, const NodeInfo& entry)
+    template <typename Message>
+    Message makeMessage(
+        uint32_t slot, uint32_t epoch, const RequestKey& requestKey, ArrivalId arrival, const NodeInfo& entryNode)
     {
-        Question question;
-        question.slot = slot;
-        question.epoch = epoch;
-        question.request = request;
-        question.arrival = arrival;
-        question.entry = entry;
-        return question;
+        Message message;
+        message.slot = slot;
+        message.epoch = epoch;
+        message.requestKey = requestKey;
+        message.arrival = arrival;
+        message.entryNode = entryNode;
+        return message;
     }
 
 } // namespace
 
-SlotArrival::SlotArrival(RequestKey request, ArrivalId id, NodeInfo entry, SlotGuards guards)
-    : m_request(std::move(request))
+SlotArrival::SlotArrival(RequestKey requestKey, ArrivalId id, NodeInfo entryNode, SlotGuards guards)
+    : m_requestKey(std::move(requestKey))
     , m_id(id)
-    , m_entry(std::move(entry))
+    , m_entryNode(std::move(entryNode))
     , m_guards(guards)
 {
 }
 
-SlotMessage SlotArrival::question(uint32_t slot, uint32_t epoch) const
+SlotMessage SlotArrival::makeRequest(uint32_t slot, uint32_t epoch) const
 {
-    if (m_isGivenUp)
-        return ask<VoidRequest>(slot, epoch, m_request, m_id, m_entry);
-    return ask<PermitRequest>(slot, epoch, m_request, m_id, m_entry);
+    if (m_isCancelled)
+        return makeMessage<VoidRequest>(slot, epoch, m_requestKey, m_id, m_entryNode);
+    return makeMessage<PermitRequest>(slot, epoch, m_requestKey, m_id, m_entryNode);
 }
 
-std::optional<PermitOutcome> SlotArrival::on(const PermitReply& reply)
+std::optional<PermitOutcome> SlotArrival::handle(const PermitReply& reply)
 {
-    if (reply.arrival != m_id || reply.attempt != m_request.attempt || reply.key != m_request.key)
+    if (reply.arrival != m_id || reply.attempt != m_requestKey.attempt || reply.key != m_requestKey.key)
         return std::nullopt;
     if (reply.answer == PermitAnswer::WrongEpoch || reply.answer == PermitAnswer::Undecided)
         return std::nullopt;
-    if (reply.answer == PermitAnswer::Granted && m_isGivenUp && m_guards.lateGrantIsUnused)
+    if (reply.answer == PermitAnswer::Granted && m_isCancelled && m_guards.cancelledArrivalIgnoresGrant)
         return std::nullopt;
     return PermitOutcome { reply.answer, reply.entry };
 }
--- a/src/coordination/slotarrival.h
+++ b/src/coordination/slotarrival.h
@@ -15,28 +15,28 @@
 };
 
 // One arrival of a request at its entry node, until it is decided. It first requests a permit to dispatch. Once
-// given up, it requests instead that its attempt and all earlier ones are voided.
+// cancelled, it requests instead that its attempt and all earlier ones are voided.
 class SlotArrival {
 public:
-    SlotArrival(RequestKey, ArrivalId, NodeInfo entry, SlotGuards = {});
+    SlotArrival(RequestKey, ArrivalId, NodeInfo entryNode, SlotGuards = {});
 
     // The message to send to the slot's owner at that epoch, repeated until a reply decides.
-    SlotMessage question(uint32_t slot, uint32_t epoch) const;
+    SlotMessage makeRequest(uint32_t slot, uint32_t epoch) const;
     // Returns the outcome if the reply decides this arrival.
-    std::optional<PermitOutcome> on(const PermitReply&);
+    std::optional<PermitOutcome> handle(const PermitReply&);
     // Switches from permit to void requests; any later grant is ignored. Must not be called after dispatch.
-    void giveUp() { m_isGivenUp = true; }
+    void cancel() { m_isCancelled = true; }
 
-    bool isGivenUp() const { return m_isGivenUp; }
+    bool isCancelled() const { return m_isCancelled; }
     const ArrivalId& id() const { return m_id; }
-    const RequestKey& request() const { return m_request; }
+    const RequestKey& requestKey() const { return m_requestKey; }
 
 private:
-    RequestKey m_request;
+    RequestKey m_requestKey;
     ArrivalId m_id;
-    NodeInfo m_entry;
+    NodeInfo m_entryNode;
     SlotGuards m_guards;
-    bool m_isGivenUp = false;
+    bool m_isCancelled = false;
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/slotguards.h
+++ b/src/coordination/slotguards.h
@@ -8,23 +8,23 @@
 struct SlotGuards {
     bool grantWaitsForWitness = true;
     bool voidWaitsForWitness = true;
-    bool membersAreIncarnations = true;
-    bool sealRefusesRecords = true;
-    bool sealedSaysNoVerdict = true;
+    bool membersMatchByIncarnation = true;
+    bool sealedWitnessRejectsRecords = true;
+    bool sealedOwnerGivesNoVerdict = true;
     bool proposeAfterCopy = true;
     bool memberNeedsJournal = true;
-    bool copyPerProposer = true;
-    bool startsFromProposersCopy = true;
-    bool recordsNameTheirEpoch = true;
-    bool attemptsAreOrdered = true;
-    bool onlyTheHolderVoidsItsGrant = true;
-    bool lateGrantIsUnused = true;
-    bool witnessKeepsTheLatest = true;
+    bool copiesKeyedByProposer = true;
+    bool epochStartsFromProposersCopy = true;
+    bool recordsCheckEpoch = true;
+    bool voidedAttemptsAreRefused = true;
+    bool onlyHolderVoidsGrant = true;
+    bool cancelledArrivalIgnoresGrant = true;
+    bool witnessKeepsLatestEntry = true;
     bool resetNeedsProof = true;
-    bool lostKeysExpire = true;
-    bool futureKeysWait = true;
-    bool forgottenKeysExpire = true;
-    bool copyTellsWhatIsForgotten = true;
+    bool keysBeforeResetExpire = true;
+    bool futureKeysAreDeferred = true;
+    bool keysPastRetentionExpire = true;
+    bool copyCarriesForgottenBefore = true;
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/slotkey.cpp
+++ b/src/coordination/slotkey.cpp
@@ -13,10 +13,10 @@
     constexpr size_t timeDigits = 12;
     constexpr size_t incarnationDigits = 16;
     constexpr size_t serialDigits = 8;
-    constexpr size_t mintedLength = prefix.size() + slotDigits + timeDigits + incarnationDigits + serialDigits + 3;
+    constexpr size_t keyLength = prefix.size() + slotDigits + timeDigits + incarnationDigits + serialDigits + 3;
 
     // Consumes the given number of lower-case hexadecimal digits, and the dot that follows unless the text ends there.
-    std::optional<uint64_t> takeHex(std::string_view& text, size_t digits)
+    std::optional<uint64_t> parseHexField(std::string_view& text, size_t digits)
     {
         uint64_t value = 0;
         for (char c : text.substr(0, digits)) {
@@ -40,29 +40,29 @@
 std::string MintedKey::toString() const
 {
     return fmt::format(
-        "{}{:03x}.{:012x}.{:016x}.{:08x}", prefix, slot, issued.time_since_epoch().count(), incarnation, serial);
+        "{}{:03x}.{:012x}.{:016x}.{:08x}", prefix, slot, issuedAt.time_since_epoch().count(), incarnation, serial);
 }
 
 std::optional<MintedKey> MintedKey::parse(std::string_view key)
 {
-    if (key.size() != mintedLength || !key.starts_with(prefix))
+    if (key.size() != keyLength || !key.starts_with(prefix))
         return std::nullopt;
     key.remove_prefix(prefix.size());
-    auto slot = takeHex(key, slotDigits);
+    auto slot = parseHexField(key, slotDigits);
     if (!slot || *slot >= slotCount)
         return std::nullopt;
-    auto issued = takeHex(key, timeDigits);
-    if (!issued)
+    auto issuedAt = parseHexField(key, timeDigits);
+    if (!issuedAt)
         return std::nullopt;
-    auto incarnation = takeHex(key, incarnationDigits);
+    auto incarnation = parseHexField(key, incarnationDigits);
     if (!incarnation)
         return std::nullopt;
-    auto serial = takeHex(key, serialDigits);
+    auto serial = parseHexField(key, serialDigits);
     if (!serial)
         return std::nullopt;
     MintedKey minted;
     minted.slot = static_cast<uint32_t>(*slot);
-    minted.issued = WallTime(Milliseconds(*issued));
+    minted.issuedAt = WallTime(Milliseconds(*issuedAt));
     minted.incarnation = *incarnation;
     minted.serial = static_cast<uint32_t>(*serial);
     return minted;
--- a/src/coordination/slotkey.h
+++ b/src/coordination/slotkey.h
@@ -14,7 +14,7 @@
 // milliseconds since 1970, the node's incarnation and a counter.
 struct MintedKey {
     uint32_t slot = 0;
-    WallTime issued {};
+    WallTime issuedAt {};
     uint64_t incarnation = 0;
     uint32_t serial = 0;
 
--- a/src/coordination/slotmember.h
+++ b/src/coordination/slotmember.h
@@ -27,7 +27,7 @@
 
 struct SlotLimits {
     Milliseconds retention { 3'600'000 };
-    Milliseconds clockSkew { 2'000 }; // Upper bound of the difference between two nodes' wall clocks.
+    Milliseconds maxClockSkew { 2'000 }; // Upper bound of the difference between two nodes' wall clocks.
     size_t entriesPerPart = 256;
 };
 
@@ -38,12 +38,12 @@
 public:
     SlotMember(uint32_t slot, NodeInfo self, SlotLimits, SlotGuards = {});
 
-    void on(const PermitRequest&, WallTime now, SlotActions&);
-    void on(const VoidRequest&, WallTime now, SlotActions&);
-    void on(const RecordRequest&, WallTime now, SlotActions&);
-    void on(const RecordReply&, WallTime now, SlotActions&);
-    void on(const CopyRequest&, WallTime now, SlotActions&);
-    void on(const CopyReply&, WallTime now, SlotActions&);
+    void handle(const PermitRequest&, WallTime now, SlotActions&);
+    void handle(const VoidRequest&, WallTime now, SlotActions&);
+    void handle(const RecordRequest&, WallTime now, SlotActions&);
+    void handle(const RecordReply&, WallTime now, SlotActions&);
+    void handle(const CopyRequest&, WallTime now, SlotActions&);
+    void handle(const CopyReply&, WallTime now, SlotActions&);
 
     // Applies an assignment decided by the log. Epochs may be skipped, because a lagging node applies only the latest.
     void assign(const SlotAssignment&);
@@ -55,76 +55,76 @@
     // Proposes the new pair, or repeats the proposal, if both nodes hold the complete journal.
     void propose(SlotActions&) const;
     // Drops journal entries older than the retention.
-    void forget(WallTime now);
+    void dropExpired(WallTime now);
 
     const NodeInfo& self() const { return m_self; }
     const SlotAssignment& assignment() const { return m_assignment; }
     bool isMember() const { return isOwner() || isWitness(); }
-    bool isOwner() const { return isSelf(m_assignment.owner.id); }
-    bool isWitness() const { return isSelf(m_assignment.witness.id); }
+    bool isOwner() const { return isThisNode(m_assignment.owner.id); }
+    bool isWitness() const { return isThisNode(m_assignment.witness.id); }
     bool isSealed() const { return m_sealed; }
     // False if this node became a member without receiving the complete copy; it then makes no decisions.
     bool holdsJournal() const { return m_holdsJournal; }
     const Journal& journal() const { return m_journal; }
 
     // The pair that the journal is being copied to or that was proposed; both names are empty if there is none.
-    const NodeInfo& proposedOwner() const { return m_change.owner; }
-    const NodeInfo& proposedWitness() const { return m_change.witness; }
+    const NodeInfo& proposedOwner() const { return m_proposedPair.owner; }
+    const NodeInfo& proposedWitness() const { return m_proposedPair.witness; }
     // The number of journal parts that the proposed pair has not acknowledged.
-    size_t partsMissing() const;
+    size_t missingParts() const;
     // The serial of the oldest record that the witness has not acknowledged; 0 if there is none.
-    uint64_t oldestUnwitnessed() const { return m_unwitnessed.empty() ? 0 : m_unwitnessed.begin()->first; }
+    uint64_t oldestUnacknowledged() const { return m_pendingRecords.empty() ? 0 : m_pendingRecords.begin()->first; }
 
 private:
-    friend class SlotMemberPrinter; // Lets the model checker in the tests compare complete states.
+    friend class SlotMemberWriter; // Lets the model checker in the tests compare complete states.
 
     // A permit or void request from an entry node.
-    struct Ask {
+    struct ArrivalRequest {
         bool isVoid = false;
-        RequestKey request;
+        RequestKey requestKey;
         ArrivalId arrival;
-        NodeInfo entry;
+        NodeInfo entryNode;
     };
 
     // An entry that the witness has not acknowledged.
-    struct Unwitnessed {
+    struct PendingRecord {
         JournalEntry entry;
-        std::vector<Ask> waiting; // Requests of the key, decided once the witness acknowledges.
+        std::vector<ArrivalRequest> waitingRequests; // Requests of the key, decided once the witness acknowledges.
     };
 
     // The journal of a sealed epoch, as received so far from its proposer.
-    struct Copy {
+    struct ReceivedCopy {
         NodeId proposer;
         uint32_t parts = 0;
-        std::set<uint32_t> partsKept;
+        std::set<uint32_t> receivedParts;
         Journal journal;
     };
 
-    struct Target {
+    struct CopyTarget {
         NodeInfo node;
-        size_t partsKept = 0;
+        size_t acknowledgedParts = 0;
     };
 
-    struct Change {
+    struct ProposedPair {
         NodeInfo owner;
         NodeInfo witness;
-        std::vector<Target> targets;
+        std::vector<CopyTarget> targets;
     };
 
-    bool isSelf(const NodeId&) const;
-    bool isSame(const NodeId&, const NodeId&) const;
-    bool isAlone() const { return m_assignment.witness.id.name.empty(); }
-
-    void ask(const Ask&, uint32_t epoch, WallTime now, SlotActions&);
-    void decide(const Ask&, WallTime now, SlotActions&);
-    void decideOwn(const Ask&, JournalEntry, SlotActions&);
-    void answerSealed(const Ask&, SlotActions&) const;
-    bool isForgotten(WallTime issued, WallTime now) const;
-    void record(JournalEntry, const Ask&, SlotActions&);
-    void reply(const Ask&, PermitAnswer, const JournalEntry&, SlotActions&) const;
+    bool isThisNode(const NodeId&) const;
+    bool isSameNode(const NodeId&, const NodeId&) const;
+    bool lacksWitness() const { return m_assignment.witness.id.name.empty(); }
+
+    void handleRequest(const ArrivalRequest&, uint32_t epoch, WallTime now, SlotActions&);
+    void decide(const ArrivalRequest&, WallTime now, SlotActions&);
+    void decideEntry(const ArrivalRequest&, JournalEntry, SlotActions&);
+    void replyWhileSealed(const ArrivalRequest&, SlotActions&) const;
+    bool isExpired(WallTime issuedAt, WallTime now) const;
+    void recordEntry(JournalEntry, const ArrivalRequest&, SlotActions&);
+    void reply(const ArrivalRequest&, PermitAnswer, const JournalEntry&, SlotActions&) const;
     void sendRecord(uint64_t serial, const JournalEntry&, SlotActions&) const;
-    void sendPart(const Target&, SlotActions&) const;
-    void adopt(const SlotAssignment&);
+    void sendPart(const CopyTarget&, SlotActions&) const;
+    void adoptJournal(const SlotAssignment&);
     NodeId copyKey(const NodeId& proposer) const;
 
     uint32_t m_slot;
@@ -136,11 +136,11 @@
     bool m_holdsJournal = false;
     bool m_sealed = false;
     uint64_t m_lastSerial = 0;
-    std::map<uint64_t, Unwitnessed> m_unwitnessed; // Keyed by serial.
-    std::map<std::string, uint64_t, std::less<>> m_unwitnessedKeys;
-    std::map<std::pair<uint32_t, NodeId>, Copy> m_copies; // Keyed by sealed epoch and proposer.
-    std::shared_ptr<const std::vector<CopyRequest>> m_frozen;
-    Change m_change;
+    std::map<uint64_t, PendingRecord> m_pendingRecords; // Keyed by serial.
+    std::map<std::string, uint64_t, std::less<>> m_pendingSerials;
+    std::map<std::pair<uint32_t, NodeId>, ReceivedCopy> m_copies; // Keyed by sealed epoch and proposer.
+    std::shared_ptr<const std::vector<CopyRequest>> m_frozenParts;
+    ProposedPair m_proposedPair;
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/slotmessage.h
+++ b/src/coordination/slotmessage.h
@@ -15,17 +15,17 @@
 struct RequestKey {
     std::string key;
     uint32_t attempt = 1;
-    WallTime issued {}; // As the caller states it; for a minted key, the owner uses the time in the key instead.
+    WallTime issuedAt {}; // As the caller states it; for a minted key, the owner uses the time in the key instead.
 };
 
 // The state of one key in a slot's journal.
 struct JournalEntry {
     std::string key;
-    WallTime issued {};
+    WallTime issuedAt {};
     uint32_t voidedUpTo = 0; // Attempts up to this one never ran and never will.
     uint32_t grantedAttempt = 0; // 0: no grant is in force.
     ArrivalId grantedTo {};
-    NodeInfo grantedAt {}; // The entry node that may dispatch the request and stores its answer.
+    NodeInfo holderNode {}; // The entry node that may dispatch the request and stores its answer.
 
     bool operator==(const JournalEntry&) const = default;
 };
@@ -35,9 +35,9 @@
 struct PermitRequest {
     uint32_t slot = 0;
     uint32_t epoch = 0;
-    RequestKey request;
+    RequestKey requestKey;
     ArrivalId arrival;
-    NodeInfo entry;
+    NodeInfo entryNode;
 };
 
 // Requests that no arrival of the key with this attempt or an earlier one ever runs. It must succeed before "not run"
@@ -45,9 +45,9 @@
 struct VoidRequest {
     uint32_t slot = 0;
     uint32_t epoch = 0;
-    RequestKey request;
+    RequestKey requestKey;
     ArrivalId arrival;
-    NodeInfo entry;
+    NodeInfo entryNode;
 };
 
 enum class PermitAnswer : uint8_t {
--- a/src/coordination/slotservice.cpp
+++ b/src/coordination/slotservice.cpp
@@ -20,7 +20,7 @@
 {
     SlotLimits limits;
     limits.retention = settings.retention;
-    limits.clockSkew = settings.clockSkew;
+    limits.maxClockSkew = settings.maxClockSkew;
     for (uint32_t slot = 0; slot < slotCount; slot++)
         shardOf(slot).members.emplace_back(slot, this->self, limits);
 }
@@ -41,15 +41,15 @@
                 continue;
             }
             if (auto* reply = std::get_if<PermitReply>(&send.message)) {
-                settle(*reply);
+                resolveWaiter(*reply);
                 continue;
             }
-            WallTime now { Milliseconds(wall.load()) };
+            WallTime now { Milliseconds(wallMs.load()) };
             std::visit(
                 [&](const auto& message) {
                     if constexpr (!std::is_same_v<std::decay_t<decltype(message)>, PermitReply>) {
                         std::lock_guard lock(shardOf(message.slot).mutex);
-                        memberOf(message.slot).on(message, now, next);
+                        memberOf(message.slot).handle(message, now, next);
                     }
                 },
                 send.message);
@@ -81,7 +81,7 @@
     }
 }
 
-void SlotService::Impl::settle(const PermitReply& reply)
+void SlotService::Impl::resolveWaiter(const PermitReply& reply)
 {
     Shard& shard = shardOf(reply.slot);
     std::lock_guard lock(shard.mutex);
@@ -89,7 +89,7 @@
     if (found == shard.waiters.end())
         return;
     PermitWaiter& waiter = *found->second;
-    auto outcome = waiter.arrival.on(reply);
+    auto outcome = waiter.arrival.handle(reply);
     if (!outcome)
         return;
     waiter.outcome = std::move(outcome);
@@ -98,34 +98,34 @@
 }
 
 // Sends nothing while the slot has no owner; the next tick or assignment sends the request.
-void SlotService::Impl::askOwner(const Shard& shard, const PermitWaiter& waiter, SlotActions& actions) const
+void SlotService::Impl::sendToOwner(const Shard& shard, const PermitWaiter& waiter, SlotActions& actions) const
 {
     const SlotAssignment& assignment = shard.members[waiter.slot / shardCount].assignment();
     if (assignment.epoch)
-        actions.push_back(SlotSend { assignment.owner, waiter.arrival.question(waiter.slot, assignment.epoch) });
+        actions.push_back(SlotSend { assignment.owner, waiter.arrival.makeRequest(waiter.slot, assignment.epoch) });
 }
 
-PermitOutcome SlotService::Impl::await(SlotArrival arrival, MonotonicTime deadline)
+PermitOutcome SlotService::Impl::waitForOutcome(SlotArrival arrival, MonotonicTime deadline)
 {
     MonotonicTime start = monotonicNow();
-    deadline = std::min(deadline, start + settings.patience);
+    deadline = std::min(deadline, start + settings.maxWait);
     auto waiter = std::make_shared<PermitWaiter>(std::move(arrival));
-    waiter->slot = slotOf(waiter->arrival.request().key);
+    waiter->slot = slotOf(waiter->arrival.requestKey().key);
     waiter->lastSent = start;
     Shard& shard = shardOf(waiter->slot);
     SlotActions actions;
     {
         std::lock_guard lock(shard.mutex);
         shard.waiters[waiter->arrival.id()] = waiter;
-        askOwner(shard, *waiter, actions);
+        sendToOwner(shard, *waiter, actions);
     }
     perform(std::move(actions));
     std::unique_lock lock(shard.mutex);
     waiter->decided.wait_until(lock, deadline, [&] { return waiter->outcome.has_value(); });
     if (waiter->outcome)
         return *waiter->outcome;
-    waiter->arrival.giveUp();
-    waiter->abandonedAt = deadline;
+    waiter->arrival.cancel();
+    waiter->timedOutAt = deadline;
     return {};
 }
 
@@ -138,37 +138,37 @@
 
 void SlotService::deliver(const SlotMessage& message)
 {
-    bool isSlot = std::visit([](const auto& m) { return m.slot < slotCount; }, message);
-    if (isSlot)
+    bool isValidSlot = std::visit([](const auto& m) { return m.slot < slotCount; }, message);
+    if (isValidSlot)
         m_impl->perform({ SlotSend { m_impl->self, message } });
 }
 
 PermitOutcome SlotService::permit(const RequestKey& request, ArrivalId arrival, MonotonicTime deadline)
 {
-    return m_impl->await(SlotArrival(request, arrival, m_impl->self), deadline);
+    return m_impl->waitForOutcome(SlotArrival(request, arrival, m_impl->self), deadline);
 }
 
 PermitOutcome SlotService::makeVoid(const RequestKey& request, ArrivalId arrival, MonotonicTime deadline)
 {
-    SlotArrival given(request, arrival, m_impl->self);
-    given.giveUp();
-    return m_impl->await(std::move(given), deadline);
+    SlotArrival cancelledArrival(request, arrival, m_impl->self);
+    cancelledArrival.cancel();
+    return m_impl->waitForOutcome(std::move(cancelledArrival), deadline);
 }
 
-void SlotService::assignmentsChanged(const SlotTable& table, std::span<const uint32_t> slots)
+void SlotService::applyAssignments(const SlotTable& table, std::span<const uint32_t> slots)
 {
     Impl& impl = *m_impl;
     SlotActions actions;
     for (uint32_t slot : slots) {
         Impl::Shard& shard = impl.shardOf(slot);
-        std::scoped_lock lock(shard.mutex, impl.loadsMutex);
+        std::scoped_lock lock(shard.mutex, impl.slotsPerNodeMutex);
         SlotMember& member = impl.memberOf(slot);
-        impl.countLoad(member.assignment(), -1);
+        impl.adjustSlotCount(member.assignment(), -1);
         member.assign(table.assignment(slot));
-        impl.countLoad(member.assignment(), 1);
+        impl.adjustSlotCount(member.assignment(), 1);
         for (auto& [id, waiter] : shard.waiters) {
             if (waiter->slot == slot)
-                impl.askOwner(shard, *waiter, actions);
+                impl.sendToOwner(shard, *waiter, actions);
         }
     }
     impl.perform(std::move(actions));
@@ -179,12 +179,12 @@
 {
     Impl& impl = *m_impl;
     std::lock_guard ticking(impl.tickMutex);
-    impl.wall = wall.time_since_epoch().count();
+    impl.wallMs = wall.time_since_epoch().count();
     Impl::Tick tick = impl.startTick(now, wall, live);
-    impl.noteGone(tick, provenGone);
-    impl.noteMissing(tick);
-    tick.mayBeAlone = !tick.others && now - impl.liveSince >= impl.settings.aloneGrace;
-    tick.startsSlots = impl.startsSlots(tick);
+    impl.recordProvenGone(tick, provenGone);
+    impl.updateMissingSince(tick);
+    tick.mayLackWitness = !tick.otherNodes && now - impl.liveIdsSince >= impl.settings.noWitnessDelay;
+    tick.assignsSlots = impl.shouldAssignSlots(tick);
     for (uint32_t index = 0; index < Impl::shardCount; index++) {
         Impl::Shard& shard = impl.shards[index];
         SlotActions actions;
@@ -192,15 +192,15 @@
             std::lock_guard lock(shard.mutex);
             for (uint32_t slot = index; slot < slotCount; slot += Impl::shardCount)
                 impl.tickSlot(slot, tick, actions);
-            impl.tickWaiters(shard, tick, actions);
+            impl.resendWaiters(shard, tick, actions);
         }
         impl.perform(std::move(actions));
     }
-    if (tick.reproposes || tick.startsSlots)
-        impl.orphansSince = tick.sawOrphan ? std::min(impl.orphansSince, now) : MonotonicTime::max();
+    if (tick.isReproposeDue || tick.assignsSlots)
+        impl.unassignedSince = tick.foundUnassigned ? std::min(impl.unassignedSince, now) : MonotonicTime::max();
     {
         std::lock_guard lock(impl.mintMutex);
-        impl.mintable = std::move(tick.mintableOwned.empty() ? tick.mintable : tick.mintableOwned);
+        impl.mintableSlots = std::move(tick.mintableOwnedSlots.empty() ? tick.mintableSlots : tick.mintableOwnedSlots);
     }
     impl.flushChanges();
 }
@@ -211,10 +211,10 @@
     std::lock_guard ticking(impl.tickMutex);
     impl.isLeaving = true;
     SlotPlan plan = [&] {
-        std::lock_guard lock(impl.loadsMutex);
-        return SlotPlan(live, impl.loads);
+        std::lock_guard lock(impl.slotsPerNodeMutex);
+        return SlotPlan(live, impl.slotsPerNode);
     }();
-    size_t left = 0;
+    size_t remainingSlots = 0;
     for (uint32_t slot = 0; slot < slotCount; slot++) {
         SlotActions actions;
         {
@@ -222,13 +222,13 @@
             SlotMember& member = impl.memberOf(slot);
             if (!member.isMember())
                 continue;
-            left++;
-            impl.leave(slot, member, plan, live, actions);
+            remainingSlots++;
+            impl.handOverSlot(slot, member, plan, live, actions);
         }
         impl.perform(std::move(actions));
     }
     impl.flushChanges();
-    return !left;
+    return !remainingSlots;
 }
 
 // Keys are distributed round-robin over the slots that this node owns, or over others if it owns no usable slot.
@@ -238,12 +238,12 @@
     MintedKey key;
     {
         std::lock_guard lock(impl.mintMutex);
-        if (impl.mintable.empty())
+        if (impl.mintableSlots.empty())
             return {};
-        key.slot = impl.mintable[impl.mintedSoFar % impl.mintable.size()];
-        key.serial = impl.mintedSoFar++;
+        key.slot = impl.mintableSlots[impl.mintedCount % impl.mintableSlots.size()];
+        key.serial = impl.mintedCount++;
     }
-    key.issued = now;
+    key.issuedAt = now;
     key.incarnation = impl.self.id.incarnation;
     return key.toString();
 }
--- a/src/coordination/slotservice.h
+++ b/src/coordination/slotservice.h
@@ -21,13 +21,13 @@
 
     struct Settings {
         Milliseconds retention { 3'600'000 }; // Keys older than this may be dropped and are answered with Expired.
-        Milliseconds resend { 100 }; // Interval between repeats of an unanswered message.
-        Milliseconds patience { 1'500 }; // Maximum wait of permit() and makeVoid(), even if the deadline is later.
-        Milliseconds partnerGrace { 1'000 }; // A partner missing from the live nodes for this long is replaced.
-        Milliseconds aloneGrace { 5'000 }; // After this long without another live node, slots run without a witness.
-        Milliseconds repropose { 2'000 }; // Interval between repeats of a proposal that the log has not decided.
-        Milliseconds abandonedFor { 60'000 }; // How long void requests of an arrival that gave up are repeated.
-        Milliseconds clockSkew { 2'000 }; // Upper bound of the difference between two nodes' wall clocks.
+        Milliseconds resendInterval { 100 }; // Interval between repeats of an unanswered message.
+        Milliseconds maxWait { 1'500 }; // Maximum wait of permit() and makeVoid(), even if the deadline is later.
+        Milliseconds partnerTimeout { 1'000 }; // A partner missing from the live nodes for this long is replaced.
+        Milliseconds noWitnessDelay { 5'000 }; // Without another live node for this long, slots run without witness.
+        Milliseconds reproposeInterval { 2'000 }; // Interval between repeats of a proposal not decided by the log.
+        Milliseconds voidResendDuration { 60'000 }; // How long void requests of an arrival that timed out are repeated.
+        Milliseconds maxClockSkew { 2'000 }; // Upper bound of the difference between two nodes' wall clocks.
     };
 
     SlotService(NodeInfo self, Settings, Sender, Proposer);
@@ -36,7 +36,7 @@
     // Handles a message from another node. May be called from any thread.
     void deliver(const SlotMessage&);
 
-    // Requests permission to dispatch. Blocks until decided, until the deadline or for at most `patience`. Undecided
+    // Requests permission to dispatch. Blocks until decided, until the deadline or for at most `maxWait`. Undecided
     // means that "not run" must not be reported yet. A grant that arrives after the time-out is never used: the attempt
     // is voided in the background, so that the caller's next attempt can run.
     PermitOutcome permit(const RequestKey&, ArrivalId, MonotonicTime deadline);
@@ -46,7 +46,7 @@
     PermitOutcome makeVoid(const RequestKey&, ArrivalId, MonotonicTime deadline);
 
     // Applies the new assignments of these slots, as decided by the log.
-    void assignmentsChanged(const SlotTable&, std::span<const uint32_t> slots);
+    void applyAssignments(const SlotTable&, std::span<const uint32_t> slots);
     // Resends messages, proposes replacements for missing partners and drops entries older than the retention.
     // live: the nodes believed alive and not stopping, from which partners are chosen. Safety does not depend on it.
     // provenGone: incarnations that can never act again, because a newer one answered at their address.
--- a/src/coordination/slotserviceimpl.h
+++ b/src/coordination/slotserviceimpl.h
@@ -28,7 +28,7 @@
     std::optional<PermitOutcome> outcome;
     std::condition_variable decided;
     MonotonicTime lastSent {};
-    MonotonicTime abandonedAt = MonotonicTime::max(); // max() while the thread is waiting.
+    MonotonicTime timedOutAt = MonotonicTime::max(); // max() while the thread is waiting.
 };
 
 // The state of SlotService. Request handling is in slotservice.cpp, periodic maintenance in slotupkeep.cpp.
@@ -48,15 +48,15 @@
         std::span<const NodeInfo> live;
         SlotPlan plan;
         std::set<NodeId> liveIds {};
-        size_t others = 0; // The number of live nodes other than this one.
-        bool mayBeAlone = false; // No other node has been live for aloneGrace, so slots may run without a witness.
-        bool startsSlots = false; // This node proposes members for the slots that have none.
-        bool resends = false;
-        bool reproposes = false;
-        bool forgets = false;
-        bool sawOrphan = false;
-        std::vector<uint32_t> mintable {};
-        std::vector<uint32_t> mintableOwned {};
+        size_t otherNodes = 0; // The number of live nodes other than this one.
+        bool mayLackWitness = false; // Slots may run without a witness: no other node was live for noWitnessDelay.
+        bool assignsSlots = false; // This node proposes members for the slots that have none.
+        bool isResendDue = false;
+        bool isReproposeDue = false;
+        bool isExpiryDue = false;
+        bool foundUnassigned = false;
+        std::vector<uint32_t> mintableSlots {};
+        std::vector<uint32_t> mintableOwnedSlots {};
     };
 
     Impl(NodeInfo self, Settings settings, Sender sender, Proposer proposer);
@@ -64,57 +64,57 @@
     Shard& shardOf(uint32_t slot) { return shards[slot % shardCount]; }
     SlotMember& memberOf(uint32_t slot) { return shardOf(slot).members[slot / shardCount]; }
 
-    PermitOutcome await(SlotArrival, MonotonicTime deadline);
-    void askOwner(const Shard&, const PermitWaiter&, SlotActions&) const;
-    void settle(const PermitReply&);
+    PermitOutcome waitForOutcome(SlotArrival, MonotonicTime deadline);
+    void sendToOwner(const Shard&, const PermitWaiter&, SlotActions&) const;
+    void resolveWaiter(const PermitReply&);
     void perform(SlotActions);
     void flushChanges();
     void queueChange(SlotChange);
 
     bool isDue(MonotonicTime& last, MonotonicTime now, Milliseconds period) const;
     Tick startTick(MonotonicTime now, WallTime, std::span<const NodeInfo> live);
-    void noteGone(const Tick&, std::span<const NodeId>);
-    void noteMissing(const Tick&);
-    bool startsSlots(const Tick&);
-    bool isGone(const NodeInfo&, const Tick&) const;
+    void recordProvenGone(const Tick&, std::span<const NodeId>);
+    void updateMissingSince(const Tick&);
+    bool shouldAssignSlots(const Tick&);
+    bool shouldReplace(const NodeInfo&, const Tick&) const;
     void tickSlot(uint32_t slot, Tick&, SlotActions&);
     void tickMember(uint32_t slot, SlotMember&, Tick&, SlotActions&);
     bool isStuck(uint32_t slot, const SlotMember&, const Tick&);
-    void tickWaiters(Shard&, const Tick&, SlotActions&) const;
-    void startSlot(uint32_t slot, SlotChange, Tick&, SlotActions&) const;
-    void leave(uint32_t slot, SlotMember&, SlotPlan&, std::span<const NodeInfo> live, SlotActions&) const;
-    void countLoad(const SlotAssignment&, int32_t by);
+    void resendWaiters(Shard&, const Tick&, SlotActions&) const;
+    void proposeFirstPair(uint32_t slot, SlotChange, Tick&, SlotActions&) const;
+    void handOverSlot(uint32_t slot, SlotMember&, SlotPlan&, std::span<const NodeInfo> live, SlotActions&) const;
+    void adjustSlotCount(const SlotAssignment&, int32_t by);
 
     const NodeInfo self;
     const Settings settings;
     const Sender sender;
     const Proposer proposer;
-    std::atomic<Milliseconds::rep> wall { 0 };
+    std::atomic<Milliseconds::rep> wallMs { 0 };
     std::atomic<bool> isLeaving { false };
     std::array<Shard, shardCount> shards;
 
     std::mutex changesMutex;
     std::vector<SlotChange> changes;
 
-    std::mutex loadsMutex;
-    std::map<NodeId, uint32_t> loads; // The number of slots that each node is a member of.
+    std::mutex slotsPerNodeMutex;
+    std::map<NodeId, uint32_t> slotsPerNode; // The number of slots that each node is a member of.
 
     std::mutex tickMutex; // Held during a tick; guards the members below, up to mintMutex.
     std::set<NodeId> provenGone;
-    std::set<NodeId> lastLive;
+    std::set<NodeId> lastLiveIds;
     std::map<NodeId, MonotonicTime> missingSince;
     // By slot: the missing parts, or the oldest unacknowledged serial, when proposals were last repeated.
-    std::map<uint32_t, uint64_t> lastAwaited;
-    MonotonicTime liveSince {}; // When the set of live nodes last changed.
-    MonotonicTime orphansSince = MonotonicTime::max();
+    std::map<uint32_t, uint64_t> lastProgress;
+    MonotonicTime liveIdsSince {}; // When the set of live nodes last changed.
+    MonotonicTime unassignedSince = MonotonicTime::max();
     MonotonicTime lastResend {};
     MonotonicTime lastRepropose {};
-    MonotonicTime lastStart {};
-    MonotonicTime lastForget {};
+    MonotonicTime lastAssign {};
+    MonotonicTime lastExpiry {};
 
     std::mutex mintMutex;
-    std::vector<uint32_t> mintable;
-    uint32_t mintedSoFar = 0;
+    std::vector<uint32_t> mintableSlots;
+    uint32_t mintedCount = 0;
 };
 
 } // namespace Kumquatpick
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -187,7 +187,7 @@
 {
     std::set<NodeId> members;
     reader.withState([&](const State& state) {
-        slots.assignmentsChanged(state.slots(), changed);
+        slots.applyAssignments(state.slots(), changed);
         for (uint32_t slot = 0; slot < slotCount; ++slot) {
             const SlotAssignment& assignment = state.slots().assignment(slot);
             members.insert(assignment.owner.id);
--- a/src/node/codec.cpp
+++ b/src/node/codec.cpp
@@ -45,7 +45,7 @@
     {
         out.setKey(text(in.key));
         out.setAttempt(in.attempt);
-        out.setIssuedMs(milliseconds(in.issued));
+        out.setIssuedMs(milliseconds(in.issuedAt));
     }
 
     RequestKey read(Rpc::RequestKey::Reader in)
@@ -56,22 +56,22 @@
     void write(Rpc::JournalEntry::Builder out, const JournalEntry& in)
     {
         out.setKey(text(in.key));
-        out.setIssuedMs(milliseconds(in.issued));
+        out.setIssuedMs(milliseconds(in.issuedAt));
         out.setVoidedUpTo(in.voidedUpTo);
         out.setGrantedAttempt(in.grantedAttempt);
         write(out.initGrantedTo(), in.grantedTo);
-        Kumquatpick::write(out.initGrantedAt(), in.grantedAt);
+        Kumquatpick::write(out.initGrantedAt(), in.holderNode);
     }
 
     Result<JournalEntry> read(Rpc::JournalEntry::Reader in)
     {
         JournalEntry entry;
         entry.key = text(in.getKey());
-        entry.issued = wallTime(in.getIssuedMs());
+        entry.issuedAt = wallTime(in.getIssuedMs());
         entry.voidedUpTo = in.getVoidedUpTo();
         entry.grantedAttempt = in.getGrantedAttempt();
         entry.grantedTo = read(in.getGrantedTo());
-        BOOST_LEAF_ASSIGN(entry.grantedAt, Kumquatpick::read(in.getGrantedAt()));
+        BOOST_LEAF_ASSIGN(entry.holderNode, Kumquatpick::read(in.getGrantedAt()));
         return entry;
     }
 
@@ -79,9 +79,9 @@
     {
         out.setSlot(in.slot);
         out.setEpoch(in.epoch);
-        write(out.initRequest(), in.request);
+        write(out.initRequest(), in.requestKey);
         write(out.initArrival(), in.arrival);
-        Kumquatpick::write(out.initEntry(), in.entry);
+        Kumquatpick::write(out.initEntry(), in.entryNode);
     }
 
     template <typename Request> Result<SlotMessage> readArrival(Rpc::ArrivalRequest::Reader in)
@@ -89,9 +89,9 @@
         Request request;
         request.slot = in.getSlot();
         request.epoch = in.getEpoch();
-        request.request = read(in.getRequest());
+        request.requestKey = read(in.getRequest());
         request.arrival = read(in.getArrival());
-        BOOST_LEAF_ASSIGN(request.entry, Kumquatpick::read(in.getEntry()));
+        BOOST_LEAF_ASSIGN(request.entryNode, Kumquatpick::read(in.getEntry()));
         return SlotMessage(std::move(request));
     }
 
--- a/tests/caller/request_test.cpp
+++ b/tests/caller/request_test.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ(request.team, "board");
     EXPECT_EQ(request.key.key, "key");
     EXPECT_EQ(request.key.attempt, 3U);
-    EXPECT_EQ(request.key.issued, now);
+    EXPECT_EQ(request.key.issuedAt, now);
     EXPECT_EQ(request.timeout, Milliseconds(1500));
     EXPECT_EQ(request.priority, Priority::High);
     EXPECT_FALSE(request.repeatable);
@@ -107,7 +107,7 @@
     headers.emplace("Idempotency-Key", minted.toString());
     auto parsed = parse(headers);
     ASSERT_TRUE(std::holds_alternative<CallerRequest>(parsed));
-    EXPECT_EQ(std::get<CallerRequest>(parsed).key.issued, now);
+    EXPECT_EQ(std::get<CallerRequest>(parsed).key.issuedAt, now);
 }
 
 TEST(Request, PromptPrefixesFollowTheMessages)
--- a/tests/caller/slots_test.cpp
+++ b/tests/caller/slots_test.cpp
@@ -43,7 +43,7 @@
         static SlotService::Settings settings()
         {
             SlotService::Settings settings;
-            settings.patience = Milliseconds(50);
+            settings.maxWait = Milliseconds(50);
             return settings;
         }
 
@@ -70,7 +70,7 @@
             for (const auto& proposal : proposals) {
                 auto changed = m_table.apply(proposal);
                 for (auto& service : m_services)
-                    service->assignmentsChanged(m_table, changed);
+                    service->applyAssignments(m_table, changed);
             }
         }
 
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -33,7 +33,7 @@
             return { PermitAnswer::HeldByOther, known };
         known.grantedAttempt = key.attempt;
         known.grantedTo = arrival;
-        known.grantedAt = entry;
+        known.holderNode = entry;
         return { loseGrants ? PermitAnswer::Undecided : PermitAnswer::Granted, known };
     }
 
--- a/tests/coordination/slot_model_test.cpp
+++ b/tests/coordination/slot_model_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    SlotModelBounds calm()
+    SlotModelBounds noCrash()
     {
         SlotModelBounds bounds;
         bounds.crashes = 0;
@@ -21,23 +21,23 @@
 
     SlotModelBounds retryAfterRefusal()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.attempts = { 1, 2 };
         return bounds;
     }
 
     SlotModelBounds threeArrivals()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.attempts = { 1, 1, 2 };
-        bounds.mayGiveUp = { 0 };
+        bounds.mayCancel = { 0 };
         bounds.takeovers = { { 1, 0, 0, 2 }, { 1, 1, 1, 2 } };
         return bounds;
     }
 
     SlotModelBounds threeEpochs()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.attempts = { 1 };
         bounds.epochs = 3;
         return bounds;
@@ -45,55 +45,55 @@
 
     SlotModelBounds threeEpochsTwoArrivals()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.epochs = 3;
-        bounds.mayGiveUp = { 0 };
+        bounds.mayCancel = { 0 };
         bounds.takeovers = { { 1, 0, 0, 2 }, { 1, 1, 1, 2 }, { 2, 0, 0, 1 }, { 2, 1, 1, 0 }, { 2, 2, 2, 1 } };
         return bounds;
     }
 
     SlotModelBounds anyHandover()
     {
-        SlotModelBounds bounds = calm();
-        bounds.handsOver = true;
-        bounds.mayGiveUp = { 0 };
+        SlotModelBounds bounds = noCrash();
+        bounds.mayHandOver = true;
+        bounds.mayCancel = { 0 };
         return bounds;
     }
 
-    SlotModelBounds changesItsMind()
+    SlotModelBounds changedProposedPair()
     {
-        SlotModelBounds bounds = calm();
-        bounds.rechoosesPartner = true;
-        bounds.mayGiveUp = { 0 };
+        SlotModelBounds bounds = noCrash();
+        bounds.changesProposedPair = true;
+        bounds.mayCancel = { 0 };
         return bounds;
     }
 
-    SlotModelBounds aloneAndRestarted()
+    SlotModelBounds restartWithoutWitness()
     {
         SlotModelBounds bounds;
-        bounds.goesAlone = true;
-        bounds.mayGiveUp = { 0 };
+        bounds.mayLackWitness = true;
+        bounds.mayCancel = { 0 };
         return bounds;
     }
 
-    SlotModelBounds bothLost()
+    SlotModelBounds bothMembersCrash()
     {
         SlotModelBounds bounds;
         bounds.crashes = 2;
         bounds.mayCrash = { 0, 1 };
-        bounds.replaces = false;
+        bounds.replacesPartner = false;
         return bounds;
     }
 
-    SlotModelBounds bothLostWhileReplaced()
+    SlotModelBounds bothMembersCrashDuringReplacement()
     {
-        SlotModelBounds bounds = bothLost();
-        bounds.replaces = true;
-        bounds.mayGiveUp = { 0 };
+        SlotModelBounds bounds = bothMembersCrash();
+        bounds.replacesPartner = true;
+        bounds.mayCancel = { 0 };
         return bounds;
     }
 
-    SlotModelBounds restarted()
+    SlotModelBounds ownerRestarts()
     {
         SlotModelBounds bounds;
         bounds.mayCrash = { 0 };
@@ -101,87 +101,87 @@
         return bounds;
     }
 
-    SlotModelBounds handedOver()
+    SlotModelBounds bothHandOver()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.takeovers = { { 1, 0, 2, 1 }, { 1, 1, 2, 0 } };
         return bounds;
     }
 
     // Both members propose the same partner. The copy of the one whose proposal is rejected must not be used instead of
     // the other's.
-    SlotModelBounds bothPropose()
+    SlotModelBounds bothMembersPropose()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.epochs = 3;
         bounds.takeovers = { { 1, 0, 0, 2 }, { 1, 1, 1, 2 }, { 2, 2, 2, 1 } };
-        bounds.mayGiveUp = { 0 };
+        bounds.mayCancel = { 0 };
         return bounds;
     }
 
-    SlotModelBounds partnerBecomesOwner()
+    SlotModelBounds witnessBecomesOwner()
     {
-        SlotModelBounds bounds = bothPropose();
+        SlotModelBounds bounds = bothMembersPropose();
         bounds.takeovers = { { 1, 0, 1, 2 }, { 2, 2, 2, 0 } };
         return bounds;
     }
 
     SlotModelBounds samePairAgain()
     {
-        SlotModelBounds bounds = bothPropose();
+        SlotModelBounds bounds = bothMembersPropose();
         bounds.takeovers = { { 1, 0, 0, 1 }, { 2, 1, 1, 2 } };
         return bounds;
     }
 
-    SlotModelBounds lateRecord()
+    SlotModelBounds delayedRecord()
     {
-        SlotModelBounds bounds = calm();
+        SlotModelBounds bounds = noCrash();
         bounds.attempts = { 1, 2, 2 };
-        bounds.mayGiveUp = { 0 };
+        bounds.mayCancel = { 0 };
         bounds.takeovers = { { 1, 1, 1, 2 } };
         return bounds;
     }
 
     // The key is issued three seconds after the earliest time of a reset.
-    SlotModelBounds resetAndLaterKey()
+    SlotModelBounds keyIssuedAfterReset()
     {
-        SlotModelBounds bounds = calm();
-        bounds.replaces = false;
-        bounds.issued = Milliseconds(3'000);
+        SlotModelBounds bounds = noCrash();
+        bounds.replacesPartner = false;
+        bounds.issuedOffset = Milliseconds(3'000);
         bounds.clocks = { Milliseconds(0), Milliseconds(3'000) };
-        bounds.clocksAgree = true;
+        bounds.hasSharedClock = true;
         return bounds;
     }
 
-    SlotModelBounds fromTheFuture()
+    SlotModelBounds keyFromTheFuture()
     {
-        SlotModelBounds bounds = resetAndLaterKey();
+        SlotModelBounds bounds = keyIssuedAfterReset();
         bounds.crashes = 2;
         bounds.mayCrash = { 0, 1 };
         return bounds;
     }
 
     // Each clock reading gives either the start time or a time past the retention.
-    SlotModelBounds forgetting()
+    SlotModelBounds expiry()
     {
-        SlotModelBounds bounds = calm();
-        bounds.forgets = true;
+        SlotModelBounds bounds = noCrash();
+        bounds.dropsExpired = true;
         bounds.clocks = { Milliseconds(0), Milliseconds(12'000) };
         bounds.epochs = 1;
         return bounds;
     }
 
     // The witness, whose clock is ahead, drops entries and hands the slot over to nodes whose clocks are not ahead.
-    SlotModelBounds forgettingAcrossEpochs()
+    SlotModelBounds expiryAcrossEpochs()
     {
-        SlotModelBounds bounds = forgetting();
+        SlotModelBounds bounds = expiry();
         bounds.epochs = 2;
-        bounds.mayGiveUp = {};
+        bounds.mayCancel = {};
         bounds.takeovers = { { 1, 1, 2, 0 } };
         return bounds;
     }
 
-    using BoundsOf = SlotModelBounds (*)();
+    using BoundsFactory = SlotModelBounds (*)();
 
     void print(std::string_view name, const SlotModelResult& result)
     {
@@ -194,12 +194,12 @@
     }
 
     // Several guard tests use the same bounds. The exploration with all guards enabled is run once and shared.
-    std::shared_future<SlotModelResult> resultOf(BoundsOf boundsOf)
+    std::shared_future<SlotModelResult> resultOf(BoundsFactory makeBounds)
     {
-        static std::map<BoundsOf, std::shared_future<SlotModelResult>> results;
-        auto [found, isNew] = results.try_emplace(boundsOf);
+        static std::map<BoundsFactory, std::shared_future<SlotModelResult>> results;
+        auto [found, isNew] = results.try_emplace(makeBounds);
         if (isNew)
-            found->second = std::async(std::launch::async, [boundsOf] { return exploreSlotModel(boundsOf()); });
+            found->second = std::async(std::launch::async, [makeBounds] { return exploreSlotModel(makeBounds()); });
         return found->second;
     }
 
@@ -207,7 +207,7 @@
 
 struct SpaceCase {
     const char* name;
-    BoundsOf boundsOf;
+    BoundsFactory makeBounds;
 };
 
 class SlotModelSpace : public testing::TestWithParam<SpaceCase> {
@@ -217,9 +217,9 @@
 };
 
 // Explores each space completely and checks that no interleaving violates at-most-once execution.
-TEST_P(SlotModelSpace, KeepsItsPromisesInEveryInterleaving)
+TEST_P(SlotModelSpace, NoViolationInAnyInterleaving)
 {
-    const SlotModelResult result = resultOf(GetParam().boundsOf).get();
+    const SlotModelResult result = resultOf(GetParam().makeBounds).get();
     print(GetParam().name, result);
     EXPECT_EQ(result.violation, "");
     EXPECT_TRUE(result.isComplete);
@@ -229,33 +229,34 @@
 INSTANTIATE_TEST_SUITE_P(Slots, SlotModelSpace,
     testing::Values(SpaceCase { "RetryAfterRefusal", retryAfterRefusal }, SpaceCase { "ThreeArrivals", threeArrivals },
         SpaceCase { "ThreeEpochs", threeEpochs }, SpaceCase { "ThreeEpochsTwoArrivals", threeEpochsTwoArrivals },
-        SpaceCase { "AnyHandover", anyHandover }, SpaceCase { "ChangesItsMind", changesItsMind },
-        SpaceCase { "AloneAndRestarted", aloneAndRestarted },
-        SpaceCase { "BothLostWhileReplaced", bothLostWhileReplaced }, SpaceCase { "OneCrash", oneCrash }),
+        SpaceCase { "AnyHandover", anyHandover }, SpaceCase { "ChangedProposedPair", changedProposedPair },
+        SpaceCase { "RestartWithoutWitness", restartWithoutWitness },
+        SpaceCase { "BothMembersCrashDuringReplacement", bothMembersCrashDuringReplacement },
+        SpaceCase { "OneCrash", oneCrash }),
     [](const auto& info) { return info.param.name; });
 
 // Guards that cover for each other are disabled together.
 struct GuardCase {
     const char* name;
     std::vector<bool SlotGuards::*> guards;
-    BoundsOf boundsOf;
+    BoundsFactory makeBounds;
 };
 
 class SlotModelGuard : public testing::TestWithParam<GuardCase> { };
 
 // Guards against a model checker that finds no violations: with a guard disabled, it must find one.
-TEST_P(SlotModelGuard, WithoutItAPromiseIsBroken)
+TEST_P(SlotModelGuard, DisablingItCausesAViolation)
 {
     const GuardCase& guardCase = GetParam();
-    const SlotModelResult whole = resultOf(guardCase.boundsOf).get();
-    EXPECT_EQ(whole.violation, "");
-    EXPECT_TRUE(whole.isComplete);
-    SlotModelBounds bounds = guardCase.boundsOf();
+    const SlotModelResult baseline = resultOf(guardCase.makeBounds).get();
+    EXPECT_EQ(baseline.violation, "");
+    EXPECT_TRUE(baseline.isComplete);
+    SlotModelBounds bounds = guardCase.makeBounds();
     for (auto guard : guardCase.guards)
         bounds.guards.*guard = false;
     SlotModelResult result = exploreSlotModel(bounds);
     fmt::print("without {}: {} after at least {} steps ({} states); with it no violation in all {} states\n",
-        guardCase.name, result.violation, result.depth, result.states, whole.states);
+        guardCase.name, result.violation, result.depth, result.states, baseline.states);
     for (const std::string& line : result.trace)
         fmt::print("    {}\n", line);
     EXPECT_NE(result.violation, "");
@@ -263,52 +264,53 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Slots, SlotModelGuard,
-    testing::Values(GuardCase { "GrantWaitsForWitness", { &SlotGuards::grantWaitsForWitness }, calm },
-        GuardCase { "VoidWaitsForWitness", { &SlotGuards::voidWaitsForWitness }, calm },
-        GuardCase { "MembersAreIncarnations", { &SlotGuards::membersAreIncarnations }, restarted },
-        GuardCase { "SealRefusesRecords", { &SlotGuards::sealRefusesRecords }, handedOver },
-        GuardCase { "SealedSaysNoVerdict", { &SlotGuards::sealedSaysNoVerdict }, handedOver },
+    testing::Values(GuardCase { "GrantWaitsForWitness", { &SlotGuards::grantWaitsForWitness }, noCrash },
+        GuardCase { "VoidWaitsForWitness", { &SlotGuards::voidWaitsForWitness }, noCrash },
+        GuardCase { "MembersMatchByIncarnation", { &SlotGuards::membersMatchByIncarnation }, ownerRestarts },
+        GuardCase { "SealedWitnessRejectsRecords", { &SlotGuards::sealedWitnessRejectsRecords }, bothHandOver },
+        GuardCase { "SealedOwnerGivesNoVerdict", { &SlotGuards::sealedOwnerGivesNoVerdict }, bothHandOver },
         GuardCase {
-            "CopyBeforeProposal", { &SlotGuards::proposeAfterCopy, &SlotGuards::memberNeedsJournal }, handedOver },
-        GuardCase { "CopyPerProposer", { &SlotGuards::copyPerProposer }, bothPropose },
-        GuardCase { "StartsFromProposersCopy", { &SlotGuards::startsFromProposersCopy }, partnerBecomesOwner },
-        GuardCase { "RecordsNameTheirEpoch", { &SlotGuards::recordsNameTheirEpoch }, samePairAgain },
-        GuardCase { "AttemptsAreOrdered", { &SlotGuards::attemptsAreOrdered }, calm },
-        GuardCase { "OnlyTheHolderVoidsItsGrant", { &SlotGuards::onlyTheHolderVoidsItsGrant }, calm },
-        GuardCase { "LateGrantIsUnused", { &SlotGuards::lateGrantIsUnused }, calm },
-        GuardCase { "WitnessKeepsTheLatest", { &SlotGuards::witnessKeepsTheLatest }, lateRecord },
-        GuardCase { "ResetNeedsProof", { &SlotGuards::resetNeedsProof }, resetAndLaterKey },
-        GuardCase { "LostKeysExpire", { &SlotGuards::lostKeysExpire }, bothLost },
-        GuardCase { "FutureKeysWait", { &SlotGuards::futureKeysWait }, fromTheFuture },
-        GuardCase { "ForgottenKeysExpire", { &SlotGuards::forgottenKeysExpire }, forgetting },
-        GuardCase { "CopyTellsWhatIsForgotten", { &SlotGuards::copyTellsWhatIsForgotten }, forgettingAcrossEpochs }),
+            "CopyBeforeProposal", { &SlotGuards::proposeAfterCopy, &SlotGuards::memberNeedsJournal }, bothHandOver },
+        GuardCase { "CopiesKeyedByProposer", { &SlotGuards::copiesKeyedByProposer }, bothMembersPropose },
+        GuardCase {
+            "EpochStartsFromProposersCopy", { &SlotGuards::epochStartsFromProposersCopy }, witnessBecomesOwner },
+        GuardCase { "RecordsCheckEpoch", { &SlotGuards::recordsCheckEpoch }, samePairAgain },
+        GuardCase { "VoidedAttemptsAreRefused", { &SlotGuards::voidedAttemptsAreRefused }, noCrash },
+        GuardCase { "OnlyHolderVoidsGrant", { &SlotGuards::onlyHolderVoidsGrant }, noCrash },
+        GuardCase { "CancelledArrivalIgnoresGrant", { &SlotGuards::cancelledArrivalIgnoresGrant }, noCrash },
+        GuardCase { "WitnessKeepsLatestEntry", { &SlotGuards::witnessKeepsLatestEntry }, delayedRecord },
+        GuardCase { "ResetNeedsProof", { &SlotGuards::resetNeedsProof }, keyIssuedAfterReset },
+        GuardCase { "KeysBeforeResetExpire", { &SlotGuards::keysBeforeResetExpire }, bothMembersCrash },
+        GuardCase { "FutureKeysAreDeferred", { &SlotGuards::futureKeysAreDeferred }, keyFromTheFuture },
+        GuardCase { "KeysPastRetentionExpire", { &SlotGuards::keysPastRetentionExpire }, expiry },
+        GuardCase { "CopyCarriesForgottenBefore", { &SlotGuards::copyCarriesForgottenBefore }, expiryAcrossEpochs }),
     [](const auto& info) { return info.param.name; });
 
 // Too large to be explored completely: two crashes, three epochs, three arrivals and every choice of partner.
-SlotModelBounds large()
+SlotModelBounds largeSpace()
 {
     SlotModelBounds bounds;
     bounds.attempts = { 1, 1, 2 };
     bounds.epochs = 3;
     bounds.crashes = 2;
-    bounds.handsOver = true;
-    bounds.goesAlone = true;
-    bounds.rechoosesPartner = true;
+    bounds.mayHandOver = true;
+    bounds.mayLackWitness = true;
+    bounds.changesProposedPair = true;
     return bounds;
 }
 
 // CI uses the default size; the environment variable allows longer manual runs.
-size_t sizeFrom(const char* variable, size_t usual)
+size_t sizeFromEnvironment(const char* variable, size_t defaultSize)
 {
-    const char* wanted = std::getenv(variable);
-    return wanted ? std::stoull(wanted) : usual;
+    const char* value = std::getenv(variable);
+    return value ? std::stoull(value) : defaultSize;
 }
 
 // Checks interleavings that lie deeper in the large space than complete exploration reaches.
-TEST(SlotModel, KeepsItsPromisesInLongRandomWalks)
+TEST(SlotModel, NoViolationInLongRandomWalks)
 {
-    size_t steps = sizeFrom("KUMQUATPICK_SLOT_WALK_STEPS", 300'000);
-    SlotModelResult result = walkSlotModel(large(), 20261202, 120, steps);
+    size_t steps = sizeFromEnvironment("KUMQUATPICK_SLOT_WALK_STEPS", 300'000);
+    SlotModelResult result = walkSlotModel(largeSpace(), 20261202, 120, steps);
     print("random walks", result);
     EXPECT_EQ(result.violation, "");
     EXPECT_EQ(result.epochsReached, 3U);
@@ -317,10 +319,10 @@
 }
 
 // Checks all interleavings of the large space up to a limited number of states.
-TEST(SlotModel, KeepsItsPromisesInTheFirstStatesOfALargeSpace)
+TEST(SlotModel, NoViolationInTheFirstStatesOfALargeSpace)
 {
-    SlotModelBounds bounds = large();
-    bounds.stateLimit = sizeFrom("KUMQUATPICK_SLOT_STATES", 300'000);
+    SlotModelBounds bounds = largeSpace();
+    bounds.stateLimit = sizeFromEnvironment("KUMQUATPICK_SLOT_STATES", 300'000);
     SlotModelResult result = exploreSlotModel(bounds);
     print("large space", result);
     EXPECT_EQ(result.violation, "");
--- a/tests/coordination/slotmeasure_test.cpp
+++ b/tests/coordination/slotmeasure_test.cpp
@@ -29,9 +29,9 @@
     std::string callerKey(size_t index) { return fmt::format("3f2b8c1e-77aa-4d0e-9c55-{:012x}", index); }
 
     // An owner and a witness whose messages to each other are delivered immediately.
-    class Pair {
+    class MemberPair {
     public:
-        Pair()
+        MemberPair()
             : m_members { SlotMember(0, nodeInfo(0), {}), SlotMember(0, nodeInfo(1), {}) }
         {
             SlotAssignment assignment;
@@ -48,16 +48,16 @@
             PermitRequest request { 0, 1, { callerKey(index), 1, now }, { 7, index }, nodeInfo(2) };
             PermitAnswer answer = PermitAnswer::Undecided;
             SlotActions actions;
-            m_members[0].on(request, now, actions);
+            m_members[0].handle(request, now, actions);
             while (!actions.empty()) {
                 auto send = std::get<SlotSend>(std::move(actions.back()));
                 actions.pop_back();
                 if (auto* reply = std::get_if<PermitReply>(&send.message))
                     answer = reply->answer;
                 else if (auto* record = std::get_if<RecordRequest>(&send.message))
-                    m_members[1].on(*record, now, actions);
+                    m_members[1].handle(*record, now, actions);
                 else
-                    m_members[0].on(std::get<RecordReply>(send.message), now, actions);
+                    m_members[0].handle(std::get<RecordReply>(send.message), now, actions);
             }
             return answer;
         }
@@ -69,16 +69,16 @@
     };
 
     // Services that share one slot table, without threads and without waiting.
-    class Fleet {
+    class Cluster {
     public:
-        explicit Fleet(size_t size)
+        explicit Cluster(size_t size)
         {
-            auto drop = [](const NodeInfo&, const SlotMessage&) {};
+            auto dropMessage = [](const NodeInfo&, const SlotMessage&) {};
             auto propose = [this](const SlotsProposal& proposal) { m_table.apply(proposal); };
             for (size_t i = 0; i < size; i++) {
                 m_live.push_back(nodeInfo(i));
                 m_services.push_back(
-                    std::make_unique<SlotService>(nodeInfo(i), SlotService::Settings {}, drop, propose));
+                    std::make_unique<SlotService>(nodeInfo(i), SlotService::Settings {}, dropMessage, propose));
             }
             tick(0);
             m_time += Milliseconds(3'000);
@@ -86,11 +86,11 @@
             std::vector<uint32_t> slots(slotCount);
             std::iota(slots.begin(), slots.end(), 0U);
             for (auto& service : m_services)
-                service->assignmentsChanged(m_table, slots);
+                service->applyAssignments(m_table, slots);
         }
 
         // Removes the last node from the live nodes. The services no longer see assignments, as if the log were down.
-        NodeId lose()
+        NodeId removeLastNode()
         {
             NodeId lost = m_live.back().id;
             m_live.pop_back();
@@ -98,9 +98,9 @@
         }
 
         void tick(size_t index) { m_services[index]->tick(m_time, now, m_live, {}); }
-        std::string mint(size_t index) { return m_services[index]->mintKey(now); }
-        size_t live() const { return m_live.size(); }
-        void pass(Milliseconds time) { m_time += time; }
+        std::string mintKey(size_t index) { return m_services[index]->mintKey(now); }
+        size_t liveCount() const { return m_live.size(); }
+        void advanceTime(Milliseconds time) { m_time += time; }
         const SlotTable& table() const { return m_table; }
 
         bool isRefused(std::string_view key, const NodeId& lost) const
@@ -122,14 +122,14 @@
 TEST(SlotMeasure, PermitsAndBytes)
 {
     constexpr size_t permits = 200'000;
-    auto pair = std::make_unique<Pair>();
+    auto members = std::make_unique<MemberPair>();
     size_t before = mallinfo2().uordblks;
     MonotonicTime start = monotonicNow();
     for (size_t i = 0; i < permits; i++)
-        ASSERT_EQ(pair->permit(i), PermitAnswer::Granted);
+        ASSERT_EQ(members->permit(i), PermitAnswer::Granted);
     double seconds = toSeconds(monotonicNow() - start);
     double bytes = static_cast<double>(mallinfo2().uordblks - before) / (2.0 * permits);
-    ASSERT_EQ(pair->journal().size(), permits);
+    ASSERT_EQ(members->journal().size(), permits);
     fmt::print("{:.0f} permits per second and core, including the witness's work; {:.0f} bytes per journal entry "
                "including the hash table\n",
         permits / seconds, bytes);
@@ -140,18 +140,18 @@
 TEST(SlotMeasure, ShareRefusedWithOneOfSevenDeadAndTheLogDown)
 {
     constexpr size_t keys = 100'000;
-    Fleet fleet(7);
-    NodeId lost = fleet.lose();
+    Cluster cluster(7);
+    NodeId lost = cluster.removeLastNode();
     size_t refusedHashed = 0;
     for (size_t i = 0; i < keys; i++)
-        refusedHashed += fleet.isRefused(callerKey(i), lost);
+        refusedHashed += cluster.isRefused(callerKey(i), lost);
     size_t refusedMinted = 0;
-    for (size_t node = 0; node < fleet.live(); node++) {
-        fleet.tick(node);
-        for (size_t i = 0; i < keys / fleet.live(); i++) {
-            std::string key = fleet.mint(node);
+    for (size_t node = 0; node < cluster.liveCount(); node++) {
+        cluster.tick(node);
+        for (size_t i = 0; i < keys / cluster.liveCount(); i++) {
+            std::string key = cluster.mintKey(node);
             ASSERT_FALSE(key.empty());
-            refusedMinted += fleet.isRefused(key, lost);
+            refusedMinted += cluster.isRefused(key, lost);
         }
     }
     double share = static_cast<double>(refusedHashed) / keys;
@@ -163,19 +163,19 @@
 // Measures a tick in a large deployment, and checks that slots are spread evenly over its nodes.
 TEST(SlotMeasure, TickAt320Nodes)
 {
-    Fleet fleet(320);
+    Cluster cluster(320);
     std::map<NodeId, int> loads;
     for (uint32_t slot = 0; slot < slotCount; slot++) {
-        loads[fleet.table().assignment(slot).owner.id]++;
-        loads[fleet.table().assignment(slot).witness.id]++;
+        loads[cluster.table().assignment(slot).owner.id]++;
+        loads[cluster.table().assignment(slot).witness.id]++;
     }
     auto byLoad = [](const auto& left, const auto& right) { return left.second < right.second; };
     auto [least, most] = std::minmax_element(loads.begin(), loads.end(), byLoad);
     constexpr int ticks = 200;
     MonotonicTime start = monotonicNow();
     for (int i = 0; i < ticks; i++) {
-        fleet.pass(Milliseconds(100));
-        fleet.tick(1);
+        cluster.advanceTime(Milliseconds(100));
+        cluster.tick(1);
     }
     fmt::print("tick at 320 nodes: {:.0f} us; {} to {} slots per node\n",
         1e6 * toSeconds(monotonicNow() - start) / ticks, least->second, most->second);
--- a/tests/coordination/slotmodel.cpp
+++ b/tests/coordination/slotmodel.cpp
@@ -22,55 +22,55 @@
     constexpr size_t maxNodes = 4;
     constexpr size_t maxArrivals = 4;
     constexpr uint32_t modelSlot = 0;
-    const WallTime modelEpoch { Milliseconds(1'000'000'000) };
+    const WallTime modelStart { Milliseconds(1'000'000'000) };
     const std::string modelKey = "key";
 
     // Serializes values into a string that is equal only for equal values.
-    class Printer {
+    class StateWriter {
     public:
         template <typename Number>
-        requires std::is_integral_v<Number> || std::is_enum_v<Number> Printer& operator<<(Number value)
+        requires std::is_integral_v<Number> || std::is_enum_v<Number> StateWriter& operator<<(Number value)
         {
             m_text += fmt::format("{} ", static_cast<uint64_t>(value));
             return *this;
         }
-        Printer& operator<<(WallTime time) { return *this << time.time_since_epoch().count(); }
-        Printer& operator<<(const NodeId& id)
+        StateWriter& operator<<(WallTime time) { return *this << time.time_since_epoch().count(); }
+        StateWriter& operator<<(const NodeId& id)
         {
             m_text += id.name;
             return *this << id.incarnation;
         }
-        Printer& operator<<(const NodeInfo& node) { return *this << node.id; }
-        Printer& operator<<(ArrivalId id) { return *this << id.serial; }
-        Printer& operator<<(const RequestKey& r) { return *this << r.attempt << r.issued; }
-        Printer& operator<<(const JournalEntry& e)
+        StateWriter& operator<<(const NodeInfo& node) { return *this << node.id; }
+        StateWriter& operator<<(ArrivalId id) { return *this << id.serial; }
+        StateWriter& operator<<(const RequestKey& r) { return *this << r.attempt << r.issuedAt; }
+        StateWriter& operator<<(const JournalEntry& e)
         {
-            return *this << e.issued << e.voidedUpTo << e.grantedAttempt << e.grantedTo;
+            return *this << e.issuedAt << e.voidedUpTo << e.grantedAttempt << e.grantedTo;
         }
-        Printer& operator<<(const PermitRequest& m) { return *this << 'P' << m.epoch << m.request << m.arrival; }
-        Printer& operator<<(const VoidRequest& m) { return *this << 'V' << m.epoch << m.request << m.arrival; }
-        Printer& operator<<(const PermitReply& m)
+        StateWriter& operator<<(const PermitRequest& m) { return *this << 'P' << m.epoch << m.requestKey << m.arrival; }
+        StateWriter& operator<<(const VoidRequest& m) { return *this << 'V' << m.epoch << m.requestKey << m.arrival; }
+        StateWriter& operator<<(const PermitReply& m)
         {
             return *this << 'A' << m.epoch << m.attempt << m.arrival << m.answer << m.entry;
         }
-        Printer& operator<<(const RecordRequest& m)
+        StateWriter& operator<<(const RecordRequest& m)
         {
             return *this << 'R' << m.epoch << m.serial << m.owner << m.entry;
         }
-        Printer& operator<<(const RecordReply& m) { return *this << 'K' << m.epoch << m.serial << m.kept; }
-        Printer& operator<<(const CopyRequest& m)
+        StateWriter& operator<<(const RecordReply& m) { return *this << 'K' << m.epoch << m.serial << m.kept; }
+        StateWriter& operator<<(const CopyRequest& m)
         {
             *this << 'C' << m.epoch << m.proposer << m.part << m.parts << m.forgottenBefore;
             for (const JournalEntry& entry : m.entries)
                 *this << entry;
             return *this;
         }
-        Printer& operator<<(const CopyReply& m) { return *this << 'D' << m.epoch << m.partner << m.part; }
-        Printer& operator<<(const SlotChange& c)
+        StateWriter& operator<<(const CopyReply& m) { return *this << 'D' << m.epoch << m.partner << m.part; }
+        StateWriter& operator<<(const SlotChange& c)
         {
             return *this << 'L' << c.expectedEpoch << c.owner << c.witness << c.journalLost << c.lostBefore;
         }
-        Printer& operator<<(const SlotAssignment& a)
+        StateWriter& operator<<(const SlotAssignment& a)
         {
             return *this << a.epoch << a.owner << a.witness << a.lostBefore << a.proposer << a.startsEmpty;
         }
@@ -84,29 +84,29 @@
 } // namespace
 
 // Serializes the complete state of a member, so that equal states can be recognized.
-class SlotMemberPrinter {
+class SlotMemberWriter {
 public:
-    static std::string print(const SlotMember& m)
+    static std::string write(const SlotMember& m)
     {
-        Printer p;
+        StateWriter p;
         p << m.m_self << m.m_assignment << m.m_holdsJournal << m.m_sealed << m.m_lastSerial;
         for (const CopyRequest& part : m.m_journal.split(100))
             p << part;
-        for (const auto& [serial, unwitnessed] : m.m_unwitnessed) {
-            p << 'u' << serial << unwitnessed.entry;
-            for (const auto& asked : unwitnessed.waiting)
-                p << 'w' << asked.isVoid << asked.request << asked.arrival;
+        for (const auto& [serial, pendingRecord] : m.m_pendingRecords) {
+            p << 'u' << serial << pendingRecord.entry;
+            for (const auto& request : pendingRecord.waitingRequests)
+                p << 'w' << request.isVoid << request.requestKey << request.arrival;
         }
         for (const auto& [key, copy] : m.m_copies) {
-            p << 'c' << key.first << copy.proposer << copy.parts << copy.partsKept.size();
+            p << 'c' << key.first << copy.proposer << copy.parts << copy.receivedParts.size();
             for (const CopyRequest& part : copy.journal.split(100))
                 p << part;
         }
-        p << 'f' << (m.m_frozen != nullptr) << m.m_change.owner << m.m_change.witness;
-        for (const CopyRequest& part : m.m_frozen ? *m.m_frozen : std::vector<CopyRequest> {})
+        p << 'f' << (m.m_frozenParts != nullptr) << m.m_proposedPair.owner << m.m_proposedPair.witness;
+        for (const CopyRequest& part : m.m_frozenParts ? *m.m_frozenParts : std::vector<CopyRequest> {})
             p << part;
-        for (const auto& target : m.m_change.targets)
-            p << 't' << target.node << target.partsKept;
+        for (const auto& target : m.m_proposedPair.targets)
+            p << 't' << target.node << target.acknowledgedParts;
         return p.take();
     }
 };
@@ -116,7 +116,7 @@
     using Id = uint32_t;
 
     // Assigns a small integer to each distinct value, so that a state of the whole system consists of a few integers.
-    template <typename Value> class Interned {
+    template <typename Value> class InternTable {
     public:
         Id idOf(Value value, std::string printed)
         {
@@ -134,17 +134,17 @@
     };
 
     // A message in transit to the current incarnation of a node or to an arrival, or a proposal in transit to the log.
-    struct InFlight {
-        enum class To : uint8_t {
+    struct Envelope {
+        enum class Destination : uint8_t {
             Node,
             Arrival,
             Log,
         };
 
-        To to = To::Node;
+        Destination destination = Destination::Node;
         uint8_t index = 0;
         uint32_t epoch = 0; // Set for a message to a node.
-        bool countsAfterGivingUp = false; // Whether a reply decides an arrival that gave up.
+        bool isRelevantAfterCancel = false; // Whether a reply decides a cancelled arrival.
         SlotMessage message;
         SlotsProposal proposal;
         std::string text;
@@ -160,13 +160,13 @@
 
     struct ModelState {
         std::array<Id, maxNodes> members {};
-        std::array<uint8_t, maxNodes> lives {};
+        std::array<uint8_t, maxNodes> incarnations {};
         std::array<Phase, maxArrivals> phases {};
-        std::array<bool, maxArrivals> hasGivenUp {};
+        std::array<bool, maxArrivals> isCancelled {};
         std::array<bool, maxArrivals> hasDispatched {};
         uint8_t crashes = 0;
-        uint8_t toldNotRun = 0; // The highest attempt that was reported as not run.
-        uint8_t clock = 0; // The shared clock's reading, by index; used if clocksAgree.
+        uint8_t reportedNotRun = 0; // The highest attempt that was reported as not run.
+        uint8_t clock = 0; // The shared clock's reading, by index; used if hasSharedClock.
         Id log = 0;
         std::vector<Id> network; // Sorted.
 
@@ -176,13 +176,13 @@
             size_t n = 0;
             for (size_t i = 0; i < maxNodes; i++) {
                 head[n++] = members[i];
-                head[n++] = lives[i];
+                head[n++] = incarnations[i];
             }
             for (size_t i = 0; i < maxArrivals; i++)
                 head[n++]
-                    = static_cast<uint32_t>(phases[i]) | (hasGivenUp[i] ? 8U : 0U) | (hasDispatched[i] ? 16U : 0U);
+                    = static_cast<uint32_t>(phases[i]) | (isCancelled[i] ? 8U : 0U) | (hasDispatched[i] ? 16U : 0U);
             head[n++] = crashes;
-            head[n++] = toldNotRun;
+            head[n++] = reportedNotRun;
             head[n++] = clock;
             head[n++] = log;
             uint64_t seed = hash64({ reinterpret_cast<const char*>(head.data()), n * sizeof(uint32_t) });
@@ -212,37 +212,37 @@
             Permit,
             Void,
             Message,
-            Learn,
+            Assign,
             Replace,
-            Forget,
+            DropExpired,
         };
 
-        NodeInfo nodeInfo(size_t index, uint8_t life) const;
-        WallTime issuedBy(size_t arrival) const;
-        SlotArrival arrival(size_t index, bool hasGivenUp) const;
-        std::set<NodeId> goneLives(const ModelState&) const;
+        NodeInfo nodeInfo(size_t index, uint8_t incarnation) const;
+        WallTime issueTimeOf(size_t arrival) const;
+        SlotArrival arrival(size_t index, bool isCancelled) const;
+        std::set<NodeId> deadIncarnations(const ModelState&) const;
         Id internMember(const SlotMember&);
         Id internLog(std::vector<SlotAssignment>);
         std::optional<Id> internSend(const SlotSend&);
         Id internProposal(SlotsProposal);
-        bool isUseless(const SlotMessage&) const;
+        bool isIgnored(const SlotMessage&) const;
 
         // Runs the event at a copy of the member, or returns the cached result.
         template <typename Run> const MemberStep& stepMember(Id member, Event, uint64_t detail, Run&&);
-        ModelState after(const ModelState&, size_t node, const MemberStep&) const;
-        bool isChange(const ModelState&, size_t node, const MemberStep&) const;
-        bool isHeard(const ModelState&, Id) const;
+        ModelState stateAfter(const ModelState&, size_t node, const MemberStep&) const;
+        bool changesState(const ModelState&, size_t node, const MemberStep&) const;
+        bool isRelevant(const ModelState&, Id) const;
         template <typename Visit, typename Describe>
-        void visitAfter(
+        void visitIfChanged(
             const ModelState& state, size_t node, const MemberStep& step, Visit&& visit, Describe&& describe)
         {
-            if (isChange(state, node, step))
-                visit(after(state, node, step), describe);
+            if (changesState(state, node, step))
+                visit(stateAfter(state, node, step), describe);
         }
-        static void addTo(std::vector<Id>& network, Id);
-        void dropUnheard(ModelState&) const;
+        static void addMessage(std::vector<Id>& network, Id);
+        void dropIrrelevant(ModelState&) const;
 
-        template <typename Visit> void questionSteps(const ModelState&, Visit&&);
+        template <typename Visit> void requestSteps(const ModelState&, Visit&&);
         template <typename Visit> void messageSteps(const ModelState&, Visit&&);
         template <typename Visit> void logSteps(const ModelState&, Visit&&);
         template <typename Visit> void memberSteps(const ModelState&, Visit&&);
@@ -257,11 +257,11 @@
 
         SlotModelBounds m_bounds;
         SlotLimits m_limits;
-        Interned<SlotMember> m_members;
-        Interned<InFlight> m_messages;
-        Interned<std::vector<SlotAssignment>> m_logs; // Epoch 0 first.
+        InternTable<SlotMember> m_members;
+        InternTable<Envelope> m_messages;
+        InternTable<std::vector<SlotAssignment>> m_logs; // Epoch 0 first.
         std::unordered_map<uint64_t, MemberStep> m_steps;
-        std::map<std::pair<Id, Id>, std::optional<Id>> m_folds;
+        std::map<std::pair<Id, Id>, std::optional<Id>> m_appliedProposals;
         std::map<std::tuple<Id, uint8_t, std::array<uint8_t, maxNodes>>, std::optional<Id>> m_resets;
         std::array<std::vector<SlotModelTakeover>, maxNodes> m_takeovers;
         std::vector<size_t> m_clocks; // The indexes of all clock readings.
@@ -273,7 +273,7 @@
         : m_bounds(bounds)
     {
         m_limits.retention = Milliseconds(10'000);
-        m_limits.clockSkew = Milliseconds(1'000);
+        m_limits.maxClockSkew = Milliseconds(1'000);
         SlotAssignment first;
         first.epoch = 1;
         first.owner = nodeInfo(0, 0);
@@ -292,51 +292,48 @@
             m_start.phases[i] = Phase::Done;
     }
 
-    NodeInfo Model::nodeInfo(size_t index, uint8_t life) const
+    NodeInfo Model::nodeInfo(size_t index, uint8_t incarnation) const
     {
         NodeInfo node;
         node.id.name = std::string(1, static_cast<char>('a' + index));
-        node.id.incarnation = life;
+        node.id.incarnation = incarnation;
         return node;
     }
 
-    WallTime Model::issuedBy(size_t arrival) const
+    WallTime Model::issueTimeOf(size_t arrival) const
     {
-        return modelEpoch + m_bounds.issued + (arrival ? m_bounds.reissued : Milliseconds(0));
+        return modelStart + m_bounds.issuedOffset + (arrival ? m_bounds.reissueDelay : Milliseconds(0));
     }
 
-    SlotArrival Model::arrival(size_t index, bool hasGivenUp) const
+    SlotArrival Model::arrival(size_t index, bool isCancelled) const
     {
         NodeInfo entry;
         entry.id.name = "entry";
-        RequestKey request { modelKey, m_bounds.attempts[index], issuedBy(index) };
+        RequestKey request { modelKey, m_bounds.attempts[index], issueTimeOf(index) };
         SlotArrival arrival(request, ArrivalId { 1, index }, entry, m_bounds.guards);
-        if (hasGivenUp)
-            arrival.giveUp();
+        if (isCancelled)
+            arrival.cancel();
         return arrival;
     }
 
-    std::set<NodeId> Model::goneLives(const ModelState& state) const
+    std::set<NodeId> Model::deadIncarnations(const ModelState& state) const
     {
         std::set<NodeId> gone;
         for (size_t i = 0; i < m_bounds.nodes; i++) {
-            for (uint8_t life = 0; life < state.lives[i]; life++)
-                gone.insert(nodeInfo(i, life).id);
+            for (uint8_t incarnation = 0; incarnation < state.incarnations[i]; incarnation++)
+                gone.insert(nodeInfo(i, incarnation).id);
         }
         return gone;
     }
 
-    Id Model::internMember(const SlotMember& member)
-    {
-        return m_members.idOf(member, SlotMemberPrinter::print(member));
-    }
+    Id Model::internMember(const SlotMember& member) { return m_members.idOf(member, SlotMemberWriter::write(member)); }
 
     Id Model::internLog(std::vector<SlotAssignment> log)
     {
-        Printer printer;
+        StateWriter writer;
         for (const SlotAssignment& assignment : log)
-            printer << assignment;
-        return m_logs.idOf(std::move(log), printer.take());
+            writer << assignment;
+        return m_logs.idOf(std::move(log), writer.take());
     }
 
     // Maps replies that an arrival does not distinguish to the same value, which reduces the number of states.
@@ -353,7 +350,7 @@
     }
 
     // True for replies that their receiver ignores in every state.
-    bool Model::isUseless(const SlotMessage& message) const
+    bool Model::isIgnored(const SlotMessage& message) const
     {
         if (auto* reply = std::get_if<RecordReply>(&message))
             return !reply->kept;
@@ -364,37 +361,37 @@
 
     std::optional<Id> Model::internSend(const SlotSend& send)
     {
-        if (isUseless(send.message))
+        if (isIgnored(send.message))
             return std::nullopt;
-        InFlight inFlight;
-        Printer printer;
-        inFlight.message = send.message;
+        Envelope envelope;
+        StateWriter writer;
+        envelope.message = send.message;
         if (auto* reply = std::get_if<PermitReply>(&send.message)) {
-            inFlight.to = InFlight::To::Arrival;
-            inFlight.index = static_cast<uint8_t>(reply->arrival.serial);
-            inFlight.message = normalised(*reply);
-            inFlight.countsAfterGivingUp = arrival(inFlight.index, true).on(*reply).has_value();
+            envelope.destination = Envelope::Destination::Arrival;
+            envelope.index = static_cast<uint8_t>(reply->arrival.serial);
+            envelope.message = normalised(*reply);
+            envelope.isRelevantAfterCancel = arrival(envelope.index, true).handle(*reply).has_value();
         } else {
-            inFlight.index = static_cast<uint8_t>(send.to.id.name[0] - 'a');
-            inFlight.epoch = std::visit([](const auto& message) { return message.epoch; }, send.message);
+            envelope.index = static_cast<uint8_t>(send.to.id.name[0] - 'a');
+            envelope.epoch = std::visit([](const auto& message) { return message.epoch; }, send.message);
         }
-        printer << inFlight.to << inFlight.index;
-        std::visit([&](const auto& message) { printer << message; }, inFlight.message);
-        inFlight.text = printer.take();
-        std::string text = inFlight.text;
-        return m_messages.idOf(std::move(inFlight), std::move(text));
+        writer << envelope.destination << envelope.index;
+        std::visit([&](const auto& message) { writer << message; }, envelope.message);
+        envelope.text = writer.take();
+        std::string text = envelope.text;
+        return m_messages.idOf(std::move(envelope), std::move(text));
     }
 
     Id Model::internProposal(SlotsProposal proposal)
     {
-        Printer printer;
-        printer << 'L' << proposal.proposer << proposal.changes.front();
-        InFlight inFlight;
-        inFlight.to = InFlight::To::Log;
-        inFlight.proposal = std::move(proposal);
-        inFlight.text = printer.take();
-        std::string text = inFlight.text;
-        return m_messages.idOf(std::move(inFlight), std::move(text));
+        StateWriter writer;
+        writer << 'L' << proposal.proposer << proposal.changes.front();
+        Envelope envelope;
+        envelope.destination = Envelope::Destination::Log;
+        envelope.proposal = std::move(proposal);
+        envelope.text = writer.take();
+        std::string text = envelope.text;
+        return m_messages.idOf(std::move(envelope), std::move(text));
     }
 
     template <typename Run> const MemberStep& Model::stepMember(Id member, Event event, uint64_t detail, Run&& run)
@@ -418,7 +415,7 @@
         return m_steps.emplace(key, std::move(step)).first->second;
     }
 
-    void Model::addTo(std::vector<Id>& network, Id id)
+    void Model::addMessage(std::vector<Id>& network, Id id)
     {
         auto place = std::lower_bound(network.begin(), network.end(), id);
         if (place == network.end() || *place != id)
@@ -426,83 +423,83 @@
     }
 
     // Whether the message can still change the state. An arrival that is done or dispatched ignores all replies, and
-    // one that was granted or gave up ignores replies that do not decide an arrival that gave up. The log rejects
+    // one that was granted or cancelled ignores replies that do not decide a cancelled arrival. The log rejects
     // proposals of earlier epochs. A member ignores messages of earlier epochs, in which no later incarnation of its
     // node is a member.
-    bool Model::isHeard(const ModelState& state, Id id) const
+    bool Model::isRelevant(const ModelState& state, Id id) const
     {
-        const InFlight& inFlight = m_messages[id];
-        if (inFlight.to == InFlight::To::Log) {
-            uint32_t expected = inFlight.proposal.changes.front().expectedEpoch;
+        const Envelope& envelope = m_messages[id];
+        if (envelope.destination == Envelope::Destination::Log) {
+            uint32_t expected = envelope.proposal.changes.front().expectedEpoch;
             return expected >= epochOf(state) && expected < m_bounds.epochs;
         }
-        if (inFlight.to == InFlight::To::Node) {
-            bool mayDrop = m_bounds.guards.membersAreIncarnations && m_bounds.guards.recordsNameTheirEpoch;
-            return !mayDrop || inFlight.epoch >= m_members[state.members[inFlight.index]].assignment().epoch;
+        if (envelope.destination == Envelope::Destination::Node) {
+            bool mayDrop = m_bounds.guards.membersMatchByIncarnation && m_bounds.guards.recordsCheckEpoch;
+            return !mayDrop || envelope.epoch >= m_members[state.members[envelope.index]].assignment().epoch;
         }
-        Phase phase = state.phases[inFlight.index];
+        Phase phase = state.phases[envelope.index];
         if (phase == Phase::Asking)
             return true;
         if (phase == Phase::Done || phase == Phase::Dispatched)
             return false;
-        return inFlight.countsAfterGivingUp;
+        return envelope.isRelevantAfterCancel;
     }
 
-    bool Model::isChange(const ModelState& state, size_t node, const MemberStep& step) const
+    bool Model::changesState(const ModelState& state, size_t node, const MemberStep& step) const
     {
         if (step.member != state.members[node])
             return true;
         return std::any_of(step.sent.begin(), step.sent.end(), [&](Id id) {
-            return isHeard(state, id) && !std::binary_search(state.network.begin(), state.network.end(), id);
+            return isRelevant(state, id) && !std::binary_search(state.network.begin(), state.network.end(), id);
         });
     }
 
-    ModelState Model::after(const ModelState& state, size_t node, const MemberStep& step) const
+    ModelState Model::stateAfter(const ModelState& state, size_t node, const MemberStep& step) const
     {
         ModelState next = state;
         next.members[node] = step.member;
         for (Id id : step.sent) {
-            if (isHeard(state, id))
-                addTo(next.network, id);
+            if (isRelevant(state, id))
+                addMessage(next.network, id);
         }
         if (m_members[step.member].assignment().epoch != m_members[state.members[node]].assignment().epoch)
-            dropUnheard(next);
+            dropIrrelevant(next);
         return next;
     }
 
-    void Model::dropUnheard(ModelState& state) const
+    void Model::dropIrrelevant(ModelState& state) const
     {
-        std::erase_if(state.network, [&](Id id) { return !isHeard(state, id); });
+        std::erase_if(state.network, [&](Id id) { return !isRelevant(state, id); });
     }
 
     // A permit or void request may arrive at any time after it may have been sent, repeatedly and at any epoch.
-    template <typename Visit> void Model::questionSteps(const ModelState& state, Visit&& visit)
+    template <typename Visit> void Model::requestSteps(const ModelState& state, Visit&& visit)
     {
         const auto& log = m_logs[state.log];
         for (size_t epoch = 1; epoch < log.size(); epoch++) {
             auto node = static_cast<size_t>(log[epoch].owner.id.name[0] - 'a');
             for (size_t i = 0; i < m_bounds.attempts.size(); i++) {
                 for (size_t clock : clocksOf(state)) {
-                    WallTime now = modelEpoch + m_bounds.clocks[clock];
+                    WallTime now = modelStart + m_bounds.clocks[clock];
                     uint64_t detail = epoch * 256 + i * 16 + clock;
-                    auto asks = [&](bool isVoid) {
+                    auto addRequest = [&](bool isVoid) {
                         Event event = isVoid ? Event::Void : Event::Permit;
-                        const MemberStep& step
-                            = stepMember(state.members[node], event, detail, [&](auto& member, auto& actions) {
-                                  auto question = arrival(i, isVoid).question(modelSlot, static_cast<uint32_t>(epoch));
-                                  if (isVoid)
-                                      member.on(std::get<VoidRequest>(question), now, actions);
-                                  else
-                                      member.on(std::get<PermitRequest>(question), now, actions);
-                              });
-                        visitAfter(state, node, step, visit, [&] {
+                        const MemberStep& step = stepMember(
+                            state.members[node], event, detail, [&](auto& member, auto& actions) {
+                                auto request = arrival(i, isVoid).makeRequest(modelSlot, static_cast<uint32_t>(epoch));
+                                if (isVoid)
+                                    member.handle(std::get<VoidRequest>(request), now, actions);
+                                else
+                                    member.handle(std::get<PermitRequest>(request), now, actions);
+                            });
+                        visitIfChanged(state, node, step, visit, [&] {
                             return fmt::format("{} of arrival {} at epoch {} reaches {}", isVoid ? "void" : "permit", i,
-                                epoch, nodeInfo(node, state.lives[node]).id.name);
+                                epoch, nodeInfo(node, state.incarnations[node]).id.name);
                         });
                     };
-                    asks(false);
-                    if (state.hasGivenUp[i])
-                        asks(true);
+                    addRequest(false);
+                    if (state.isCancelled[i])
+                        addRequest(true);
                 }
             }
         }
@@ -510,55 +507,55 @@
 
     std::optional<ModelState> Model::afterReply(const ModelState& state, size_t index, const PermitReply& reply) const
     {
-        auto outcome = arrival(index, state.hasGivenUp[index]).on(reply);
+        auto outcome = arrival(index, state.isCancelled[index]).handle(reply);
         if (!outcome)
             return std::nullopt;
         ModelState next = state;
         if (outcome->answer == PermitAnswer::Granted) {
             next.phases[index] = Phase::MayDispatch;
-            dropUnheard(next);
+            dropIrrelevant(next);
             return next;
         }
         if (outcome->answer == PermitAnswer::Voided) {
-            uint32_t told = std::max(outcome->entry.voidedUpTo, m_bounds.attempts[index]);
-            next.toldNotRun = std::max(next.toldNotRun, static_cast<uint8_t>(told));
+            uint32_t reported = std::max(outcome->entry.voidedUpTo, m_bounds.attempts[index]);
+            next.reportedNotRun = std::max(next.reportedNotRun, static_cast<uint8_t>(reported));
         }
         next.phases[index] = Phase::Done;
-        dropUnheard(next);
+        dropIrrelevant(next);
         return next;
     }
 
     template <typename Visit> void Model::messageSteps(const ModelState& state, Visit&& visit)
     {
         for (Id id : state.network) {
-            const InFlight& inFlight = m_messages[id];
-            if (inFlight.to == InFlight::To::Log)
+            const Envelope& envelope = m_messages[id];
+            if (envelope.destination == Envelope::Destination::Log)
                 continue;
             auto describe = [&, id] {
                 return fmt::format("message {} is delivered to {}", m_messages[id].text, m_messages[id].index);
             };
-            size_t index = inFlight.index;
-            if (inFlight.to == InFlight::To::Arrival) {
+            size_t index = envelope.index;
+            if (envelope.destination == Envelope::Destination::Arrival) {
                 Phase phase = state.phases[index];
                 if (phase != Phase::Asking && phase != Phase::Voiding)
                     continue;
-                if (auto next = afterReply(state, index, std::get<PermitReply>(inFlight.message)))
+                if (auto next = afterReply(state, index, std::get<PermitReply>(envelope.message)))
                     visit(std::move(*next), describe);
                 continue;
             }
             for (size_t clock : clocksOf(state)) {
-                WallTime now = modelEpoch + m_bounds.clocks[clock];
+                WallTime now = modelStart + m_bounds.clocks[clock];
                 const MemberStep& step = stepMember(
                     state.members[index], Event::Message, id * 4 + clock, [&](auto& member, auto& actions) {
                         SlotMessage message = m_messages[id].message;
                         std::visit(
                             [&](const auto& m) {
                                 if constexpr (!std::is_same_v<std::decay_t<decltype(m)>, PermitReply>)
-                                    member.on(m, now, actions);
+                                    member.handle(m, now, actions);
                             },
                             message);
                     });
-                visitAfter(state, index, step, visit, describe);
+                visitIfChanged(state, index, step, visit, describe);
             }
         }
     }
@@ -567,31 +564,31 @@
     template <typename Visit> void Model::logSteps(const ModelState& state, Visit&& visit)
     {
         for (Id id : state.network) {
-            if (m_messages[id].to != InFlight::To::Log || epochOf(state) >= m_bounds.epochs)
+            if (m_messages[id].destination != Envelope::Destination::Log || epochOf(state) >= m_bounds.epochs)
                 continue;
-            auto [fold, isNew] = m_folds.try_emplace({ state.log, id });
+            auto [applied, isNew] = m_appliedProposals.try_emplace({ state.log, id });
             if (isNew) {
                 m_table.restore(modelSlot, m_logs[state.log].back());
                 if (!m_table.apply(m_messages[id].proposal).empty()) {
                     auto log = m_logs[state.log];
                     log.push_back(m_table.assignment(modelSlot));
-                    fold->second = internLog(std::move(log));
+                    applied->second = internLog(std::move(log));
                 }
             }
-            if (!fold->second)
+            if (!applied->second)
                 continue;
             ModelState next = state;
-            next.log = *fold->second;
-            dropUnheard(next);
+            next.log = *applied->second;
+            dropIrrelevant(next);
             visit(std::move(next), [&, id] { return "log appends " + m_messages[id].text; });
         }
         const auto& log = m_logs[state.log];
         for (size_t node = 0; node < m_bounds.nodes; node++) {
             for (size_t epoch = m_members[state.members[node]].assignment().epoch + 1; epoch < log.size(); epoch++) {
                 uint64_t detail = state.log * 8ULL + epoch;
-                const MemberStep& step = stepMember(state.members[node], Event::Learn, detail,
+                const MemberStep& step = stepMember(state.members[node], Event::Assign, detail,
                     [&](auto& member, auto&) { member.assign(m_logs[state.log][epoch]); });
-                visitAfter(
+                visitIfChanged(
                     state, node, step, visit, [&] { return fmt::format("node {} applies epoch {}", node, epoch); });
             }
         }
@@ -600,7 +597,7 @@
     std::span<const size_t> Model::clocksOf(const ModelState& state) const
     {
         std::span<const size_t> all(m_clocks);
-        return m_bounds.clocksAgree ? all.subspan(state.clock, 1) : all;
+        return m_bounds.hasSharedClock ? all.subspan(state.clock, 1) : all;
     }
 
     // Returns the pairs that a member may propose within the bounds.
@@ -608,13 +605,13 @@
     {
         std::vector<SlotModelTakeover> all;
         for (uint32_t epoch = 1; epoch < m_bounds.epochs; epoch++) {
-            if (m_bounds.goesAlone)
+            if (m_bounds.mayLackWitness)
                 all.push_back({ epoch, node, node, m_bounds.nodes });
             for (size_t other = 0; other < m_bounds.nodes; other++) {
                 if (other == node)
                     continue;
                 all.push_back({ epoch, node, node, other });
-                for (size_t third = 0; third < m_bounds.nodes && m_bounds.handsOver; third++) {
+                for (size_t third = 0; third < m_bounds.nodes && m_bounds.mayHandOver; third++) {
                     if (third != node && third != other)
                         all.push_back({ epoch, node, other, third });
                 }
@@ -635,13 +632,13 @@
             const SlotMember& member = m_members[id];
             if (!member.isMember() || !member.holdsJournal())
                 continue;
-            for (size_t clock : m_bounds.forgets ? clocksOf(state) : std::span<const size_t> {}) {
-                const MemberStep& step = stepMember(
-                    id, Event::Forget, clock, [&](auto& m, auto&) { m.forget(modelEpoch + m_bounds.clocks[clock]); });
-                visitAfter(
+            for (size_t clock : m_bounds.dropsExpired ? clocksOf(state) : std::span<const size_t> {}) {
+                const MemberStep& step = stepMember(id, Event::DropExpired, clock,
+                    [&](auto& m, auto&) { m.dropExpired(modelStart + m_bounds.clocks[clock]); });
+                visitIfChanged(
                     state, node, step, visit, [&] { return fmt::format("node {} drops expired entries", node); });
             }
-            if (!m_bounds.replaces || (member.isSealed() && !m_bounds.rechoosesPartner))
+            if (!m_bounds.replacesPartner || (member.isSealed() && !m_bounds.changesProposedPair))
                 continue;
             for (const SlotModelTakeover& takeover : m_takeovers[node]) {
                 if (takeover.epoch == member.assignment().epoch)
@@ -653,11 +650,13 @@
     template <typename Visit>
     void Model::replaceStep(const ModelState& state, size_t node, const SlotModelTakeover& pair, Visit&& visit)
     {
-        auto lifeOf = [&](size_t index) { return index < m_bounds.nodes ? state.lives[index] : uint8_t(0); };
+        auto incarnationOf
+            = [&](size_t index) { return index < m_bounds.nodes ? state.incarnations[index] : uint8_t(0); };
         uint64_t detail = 0;
-        for (uint64_t part : { pair.owner, size_t(lifeOf(pair.owner)), pair.witness, size_t(lifeOf(pair.witness)) })
+        for (uint64_t part :
+            { pair.owner, size_t(incarnationOf(pair.owner)), pair.witness, size_t(incarnationOf(pair.witness)) })
             detail = detail * 8 + part;
-        auto infoOf = [&](size_t i) { return i < m_bounds.nodes ? nodeInfo(i, state.lives[i]) : NodeInfo {}; };
+        auto infoOf = [&](size_t i) { return i < m_bounds.nodes ? nodeInfo(i, state.incarnations[i]) : NodeInfo {}; };
         const MemberStep& step
             = stepMember(state.members[node], Event::Replace, detail, [&](auto& member, auto& actions) {
                   NodeInfo owner = infoOf(pair.owner);
@@ -665,7 +664,7 @@
                   if (member.proposedOwner() != owner || member.proposedWitness() != witness)
                       member.replacePair(owner, witness, actions);
               });
-        visitAfter(state, node, step, visit, [&] {
+        visitIfChanged(state, node, step, visit, [&] {
             return fmt::format("node {} seals epoch {} for nodes {} and {}", node,
                 m_members[state.members[node]].assignment().epoch, pair.owner, pair.witness);
         });
@@ -673,27 +672,27 @@
 
     template <typename Visit> void Model::resetSteps(const ModelState& state, Visit&& visit)
     {
-        if (!m_bounds.resets || epochOf(state) >= m_bounds.epochs)
+        if (!m_bounds.mayReset || epochOf(state) >= m_bounds.epochs)
             return;
-        auto [known, isNew] = m_resets.try_emplace({ state.log, state.clock, state.lives });
+        auto [cached, isNew] = m_resets.try_emplace({ state.log, state.clock, state.incarnations });
         if (isNew)
-            known->second = resetProposal(state);
-        if (!known->second || std::binary_search(state.network.begin(), state.network.end(), *known->second))
+            cached->second = resetProposal(state);
+        if (!cached->second || std::binary_search(state.network.begin(), state.network.end(), *cached->second))
             return;
         ModelState next = state;
-        addTo(next.network, *known->second);
+        addMessage(next.network, *cached->second);
         visit(std::move(next), [] { return std::string("a reset is proposed"); });
     }
 
     // Assigns the last node and the first one, so that the pair differs from epoch 1, which has the first two.
     std::optional<Id> Model::resetProposal(const ModelState& state)
     {
-        auto change = resetChange(modelSlot, m_logs[state.log].back(), goneLives(state),
-            modelEpoch + m_bounds.clocks[state.clock], m_limits.clockSkew, m_bounds.guards);
+        auto change = resetChange(modelSlot, m_logs[state.log].back(), deadIncarnations(state),
+            modelStart + m_bounds.clocks[state.clock], m_limits.maxClockSkew, m_bounds.guards);
         if (!change)
             return std::nullopt;
-        change->owner = nodeInfo(m_bounds.nodes - 1U, state.lives[m_bounds.nodes - 1U]);
-        change->witness = nodeInfo(0, state.lives[0]);
+        change->owner = nodeInfo(m_bounds.nodes - 1U, state.incarnations[m_bounds.nodes - 1U]);
+        change->witness = nodeInfo(0, state.incarnations[0]);
         return internProposal({ change->owner.id, { *change } });
     }
 
@@ -704,9 +703,9 @@
         for (size_t node : m_bounds.mayCrash) {
             ModelState next = state;
             next.crashes++;
-            next.lives[node]++;
-            next.members[node]
-                = internMember(SlotMember(modelSlot, nodeInfo(node, next.lives[node]), m_limits, m_bounds.guards));
+            next.incarnations[node]++;
+            next.members[node] = internMember(
+                SlotMember(modelSlot, nodeInfo(node, next.incarnations[node]), m_limits, m_bounds.guards));
             visit(std::move(next), [&] { return fmt::format("node {} crashes", node); });
         }
     }
@@ -719,16 +718,16 @@
                 ModelState next = state;
                 next.phases[i] = Phase::Dispatched;
                 next.hasDispatched[i] = true;
-                dropUnheard(next);
+                dropIrrelevant(next);
                 visit(std::move(next), [&] { return fmt::format("arrival {} is dispatched", i); });
             }
-            bool mayGiveUp
-                = std::find(m_bounds.mayGiveUp.begin(), m_bounds.mayGiveUp.end(), i) != m_bounds.mayGiveUp.end();
-            if ((phase == Phase::Asking || phase == Phase::MayDispatch) && mayGiveUp && !state.hasGivenUp[i]) {
+            bool mayCancel
+                = std::find(m_bounds.mayCancel.begin(), m_bounds.mayCancel.end(), i) != m_bounds.mayCancel.end();
+            if ((phase == Phase::Asking || phase == Phase::MayDispatch) && mayCancel && !state.isCancelled[i]) {
                 ModelState next = state;
                 next.phases[i] = Phase::Voiding;
-                next.hasGivenUp[i] = true;
-                dropUnheard(next);
+                next.isCancelled[i] = true;
+                dropIrrelevant(next);
                 visit(std::move(next), [&] { return fmt::format("arrival {} gives up", i); });
             }
         }
@@ -737,13 +736,13 @@
     template <typename Visit> void Model::forEachStep(const ModelState& state, Visit&& visit)
     {
         arrivalSteps(state, visit);
-        questionSteps(state, visit);
+        requestSteps(state, visit);
         messageSteps(state, visit);
         logSteps(state, visit);
         memberSteps(state, visit);
         resetSteps(state, visit);
         crashSteps(state, visit);
-        if (m_bounds.clocksAgree && state.clock + 1U < m_bounds.clocks.size()) {
+        if (m_bounds.hasSharedClock && state.clock + 1U < m_bounds.clocks.size()) {
             ModelState next = state;
             next.clock++;
             visit(std::move(next), [] { return std::string("time passes"); });
@@ -757,7 +756,7 @@
             if (!state.hasDispatched[i])
                 continue;
             dispatches++;
-            if (m_bounds.attempts[i] <= state.toldNotRun)
+            if (m_bounds.attempts[i] <= state.reportedNotRun)
                 return "an attempt was dispatched that was reported as not run";
         }
         return dispatches > 1 ? "the key was dispatched twice" : "";
@@ -802,16 +801,16 @@
         size_t m_size = 0;
     };
 
-    void note(SlotModelResult& result, const Model& model, const ModelState& state)
+    void countState(SlotModelResult& result, const Model& model, const ModelState& state)
     {
         result.states++;
         result.dispatches += std::count(state.hasDispatched.begin(), state.hasDispatched.end(), true) > 0;
-        result.refusals += state.toldNotRun > 0;
+        result.refusals += state.reportedNotRun > 0;
         result.epochsReached = std::max(result.epochsReached, model.epochOf(state));
     }
 
     // Reconstructs the descriptions of the steps from the initial state along a path of state hashes.
-    std::vector<std::string> retrace(Model& model, const std::vector<uint64_t>& path)
+    std::vector<std::string> reconstructTrace(Model& model, const std::vector<uint64_t>& path)
     {
         std::vector<std::string> trace;
         ModelState state = model.start();
@@ -838,11 +837,11 @@
     {
         Model model(bounds);
         SlotModelResult result;
-        HashSet known;
+        HashSet visited;
         std::unordered_map<uint64_t, uint64_t> parents;
         std::vector<ModelState> level { model.start() };
-        known.insert(model.start().hash());
-        note(result, model, model.start());
+        visited.insert(model.start().hash());
+        countState(result, model, model.start());
         while (!level.empty()) {
             std::vector<ModelState> nextLevel;
             for (const ModelState& state : level) {
@@ -850,18 +849,18 @@
                 model.forEachStep(state, [&](ModelState next, auto&&) {
                     result.steps++;
                     uint64_t hash = next.hash();
-                    if (!result.violation.empty() || !known.insert(hash))
+                    if (!result.violation.empty() || !visited.insert(hash))
                         return;
                     if (keepsParents)
                         parents.emplace(hash, parent);
-                    note(result, model, next);
+                    countState(result, model, next);
                     result.violation = model.violation(next);
                     if (!result.violation.empty() && keepsParents) {
                         std::vector<uint64_t> path { hash };
                         while (path.back() != model.start().hash())
                             path.push_back(parents.at(path.back()));
                         std::reverse(path.begin(), path.end());
-                        result.trace = retrace(model, path);
+                        result.trace = reconstructTrace(model, path);
                     }
                     nextLevel.push_back(std::move(next));
                 });
@@ -892,7 +891,7 @@
     Model model(bounds);
     Random random(seed);
     SlotModelResult result;
-    HashSet known;
+    HashSet visited;
     while (result.steps < totalSteps && result.violation.empty()) {
         ModelState state = model.start();
         for (size_t step = 0; step < stepsPerWalk && result.violation.empty(); step++) {
@@ -908,8 +907,8 @@
                 break;
             state = std::move(*chosen);
             result.steps++;
-            if (known.insert(state.hash()))
-                note(result, model, state);
+            if (visited.insert(state.hash()))
+                countState(result, model, state);
             result.violation = model.violation(state);
             result.depth = std::max(result.depth, static_cast<uint32_t>(step + 1));
         }
--- a/tests/coordination/slotmodel.h
+++ b/tests/coordination/slotmodel.h
@@ -28,18 +28,18 @@
     uint32_t epochs = 2;
     uint8_t crashes = 1;
     std::vector<size_t> mayCrash { 0, 1, 2 };
-    std::vector<size_t> mayGiveUp { 0, 1, 2, 3 }; // Indexes of arrivals.
+    std::vector<size_t> mayCancel { 0, 1, 2, 3 }; // Indexes of arrivals.
     std::vector<SlotModelTakeover> takeovers; // If not empty, only these are explored.
-    bool replaces = true; // A member may consider its partner gone at any time.
-    bool rechoosesPartner = false; // A sealed member may change the partner that it proposes.
-    bool handsOver = false; // A member may propose a pair without itself.
-    bool goesAlone = false; // A member may propose itself without a witness.
-    bool resets = true; // A slot whose members both crashed may be reset.
-    bool forgets = false; // Members may drop entries older than the retention.
-    Milliseconds issued { 0 }; // Issue time of the key, after the start of the model's time.
-    Milliseconds reissued { 0 }; // How much later than the first arrival's the issue time of other arrivals is.
+    bool replacesPartner = true; // A member may consider its partner gone at any time.
+    bool changesProposedPair = false; // A sealed member may change the partner that it proposes.
+    bool mayHandOver = false; // A member may propose a pair without itself.
+    bool mayLackWitness = false; // A member may propose itself without a witness.
+    bool mayReset = true; // A slot whose members both crashed may be reset.
+    bool dropsExpired = false; // Members may drop entries older than the retention.
+    Milliseconds issuedOffset { 0 }; // Issue time of the key, after the start of the model's time.
+    Milliseconds reissueDelay { 0 }; // How much later than the first arrival's the issue time of other arrivals is.
     std::vector<Milliseconds> clocks { Milliseconds(0) }; // The readings that a node's clock may give at any step.
-    bool clocksAgree = false; // All nodes share one clock, which steps through the readings in order.
+    bool hasSharedClock = false; // All nodes share one clock, which steps through the readings in order.
     size_t stateLimit = 0; // The number of states after which exploration stops; 0 means no limit.
 };
 
--- a/tests/coordination/slotproperty_test.cpp
+++ b/tests/coordination/slotproperty_test.cpp
@@ -45,17 +45,17 @@
             uint32_t rest = choice / 16;
             switch (choice % 16) {
             case 0:
-                return arrive(rest);
+                return addArrival(rest);
             case 1:
-                return giveUpOrDispatch(rest);
+                return cancelOrDispatch(rest);
             case 2:
             case 3:
-                return ask(rest);
+                return sendRequest(rest);
             case 4:
-                return learn(rest);
+                return applyAssignments(rest);
             case 5:
                 if (rest % 8 == 0)
-                    replace(rest / 8);
+                    replacePairOfMember(rest / 8);
                 return;
             case 6:
                 if (rest % 16 == 0)
@@ -74,33 +74,33 @@
         }
 
         // Delivers recent messages, applies the assignments and resends, several times. Then dispatches each granted
-        // arrival and lets each undecided one give up.
-        void settle()
+        // arrival and cancels each undecided one.
+        void drain()
         {
             for (uint32_t i = 0; i < 400; i++) {
-                learn(i);
+                applyAssignments(i);
                 resend(i);
-                ask(i);
+                sendRequest(i);
                 deliver(i * 7919);
                 deliver(i * 104729);
             }
             for (uint32_t i = 0; i < m_arrivals.size(); i++)
-                giveUpOrDispatch(i * 2);
+                cancelOrDispatch(i * 2);
         }
 
         size_t dispatched() const { return m_dispatched; }
 
-        bool keepsPromises() const
+        bool isAtMostOnce() const
         {
             std::map<std::string, std::vector<uint32_t>> ran;
             for (const Arrival& arrival : m_arrivals) {
                 if (arrival.hasDispatched)
-                    ran[arrival.arrival.request().key].push_back(arrival.arrival.request().attempt);
+                    ran[arrival.arrival.requestKey().key].push_back(arrival.arrival.requestKey().attempt);
             }
             for (const auto& [key, attempts] : ran) {
-                auto told = m_toldNotRun.find(key);
-                bool isToldNotRun = told != m_toldNotRun.end() && told->second >= attempts.front();
-                if (attempts.size() > 1 || isToldNotRun)
+                auto reported = m_reportedNotRun.find(key);
+                bool isReportedNotRun = reported != m_reportedNotRun.end() && reported->second >= attempts.front();
+                if (attempts.size() > 1 || isReportedNotRun)
                     return false;
             }
             return true;
@@ -110,7 +110,7 @@
         NodeInfo info(size_t node) const
         {
             NodeInfo info;
-            info.id = { std::string(1, static_cast<char>('a' + node % nodes)), m_lives[node % nodes] };
+            info.id = { std::string(1, static_cast<char>('a' + node % nodes)), m_incarnations[node % nodes] };
             info.zone = std::to_string(node % 3);
             return info;
         }
@@ -122,18 +122,18 @@
                 m_members[node].emplace_back(slot, info(node), m_limits, m_guards);
         }
 
-        void arrive(uint32_t choice)
+        void addArrival(uint32_t choice)
         {
             uint32_t slot = choice % slots;
             std::string key = "key" + std::to_string(slot) + std::to_string(choice / slots % keysPerSlot);
-            uint32_t attempt = m_toldNotRun.contains(key) ? m_toldNotRun[key] + 1 : 1;
+            uint32_t attempt = m_reportedNotRun.contains(key) ? m_reportedNotRun[key] + 1 : 1;
             // The issue time of a key is the time of its first arrival and never changes.
-            WallTime issued = m_issued.try_emplace(key, m_now).first->second;
+            WallTime issuedAt = m_issued.try_emplace(key, m_now).first->second;
             ArrivalId id { 1, m_arrivals.size() };
-            m_arrivals.push_back({ SlotArrival({ key, attempt, issued }, id, info(choice % nodes), m_guards), slot });
+            m_arrivals.push_back({ SlotArrival({ key, attempt, issuedAt }, id, info(choice % nodes), m_guards), slot });
         }
 
-        void giveUpOrDispatch(uint32_t choice)
+        void cancelOrDispatch(uint32_t choice)
         {
             if (m_arrivals.empty())
                 return;
@@ -146,31 +146,31 @@
             }
             if (arrival.hasDispatched || (arrival.isDecided && !arrival.mayDispatch))
                 return;
-            arrival.arrival.giveUp();
+            arrival.arrival.cancel();
             arrival.mayDispatch = false;
             arrival.isDecided = false;
         }
 
-        void ask(uint32_t choice)
+        void sendRequest(uint32_t choice)
         {
             if (m_arrivals.empty())
                 return;
             const Arrival& arrival = m_arrivals[choice % m_arrivals.size()];
             const SlotAssignment& assignment = m_table.assignment(arrival.slot);
-            m_network.push_back({ assignment.owner, arrival.arrival.question(arrival.slot, assignment.epoch) });
+            m_network.push_back({ assignment.owner, arrival.arrival.makeRequest(arrival.slot, assignment.epoch) });
         }
 
-        void learn(uint32_t choice)
+        void applyAssignments(uint32_t choice)
         {
             for (uint32_t slot = 0; slot < slots; slot++)
                 m_members[choice % nodes][slot].assign(m_table.assignment(slot));
         }
 
-        SlotMember& memberBy(uint32_t choice) { return m_members[choice % nodes][choice / nodes % slots]; }
+        SlotMember& chooseMember(uint32_t choice) { return m_members[choice % nodes][choice / nodes % slots]; }
 
-        void replace(uint32_t choice)
+        void replacePairOfMember(uint32_t choice)
         {
-            SlotMember& member = memberBy(choice);
+            SlotMember& member = chooseMember(choice);
             size_t other = choice / 8 % nodes;
             size_t third = choice / 32 % nodes;
             NodeInfo owner = choice / 128 % 3 ? member.self() : info(other);
@@ -185,14 +185,14 @@
         {
             size_t node = choice % nodes;
             m_gone.insert(info(node).id);
-            m_lives[node]++;
+            m_incarnations[node]++;
             restart(node);
         }
 
         void reset(uint32_t choice)
         {
             uint32_t slot = choice % slots;
-            auto change = resetChange(slot, m_table.assignment(slot), m_gone, m_now, m_limits.clockSkew);
+            auto change = resetChange(slot, m_table.assignment(slot), m_gone, m_now, m_limits.maxClockSkew);
             if (!change)
                 return;
             change->owner = info(choice / slots);
@@ -202,7 +202,7 @@
 
         void resend(uint32_t choice)
         {
-            SlotMember& member = memberBy(choice);
+            SlotMember& member = chooseMember(choice);
             SlotActions actions;
             member.resend(actions);
             member.propose(actions);
@@ -217,33 +217,33 @@
         {
             if (m_network.empty())
                 return;
-            constexpr size_t remembered = 200;
-            size_t recent = std::min(remembered, m_network.size());
+            constexpr size_t maxRecent = 200;
+            size_t recent = std::min(maxRecent, m_network.size());
             SlotSend send = m_network[m_network.size() - 1 - choice % recent];
             if (auto* reply = std::get_if<PermitReply>(&send.message))
-                return hear(*reply);
+                return handleReply(*reply);
             auto node = static_cast<size_t>(send.to.id.name.at(0) - 'a');
             SlotActions actions;
             std::visit(
                 [&](const auto& message) {
                     if constexpr (!std::is_same_v<std::decay_t<decltype(message)>, PermitReply>)
-                        m_members[node][message.slot].on(message, m_now, actions);
+                        m_members[node][message.slot].handle(message, m_now, actions);
                 },
                 send.message);
             perform(info(node).id, actions);
         }
 
-        void hear(const PermitReply& reply)
+        void handleReply(const PermitReply& reply)
         {
             Arrival& arrival = m_arrivals[reply.arrival.serial];
-            auto outcome = arrival.arrival.on(reply);
+            auto outcome = arrival.arrival.handle(reply);
             if (arrival.isDecided || !outcome)
                 return;
             arrival.isDecided = true;
             arrival.mayDispatch = outcome->answer == PermitAnswer::Granted;
             if (outcome->answer == PermitAnswer::Voided) {
-                uint32_t& told = m_toldNotRun[reply.key];
-                told = std::max(told, outcome->entry.voidedUpTo);
+                uint32_t& reported = m_reportedNotRun[reply.key];
+                reported = std::max(reported, outcome->entry.voidedUpTo);
             }
         }
 
@@ -260,26 +260,26 @@
         SlotGuards m_guards;
         SlotLimits m_limits;
         WallTime m_now = start;
-        std::array<uint64_t, nodes> m_lives {};
+        std::array<uint64_t, nodes> m_incarnations {};
         std::array<std::vector<SlotMember>, nodes> m_members;
         std::set<NodeId> m_gone;
         std::vector<Arrival> m_arrivals;
         std::vector<SlotSend> m_network;
         std::vector<SlotsProposal> m_proposals;
         std::map<std::string, WallTime> m_issued;
-        std::map<std::string, uint32_t> m_toldNotRun;
+        std::map<std::string, uint32_t> m_reportedNotRun;
         SlotTable m_table;
         size_t m_dispatched = 0;
     };
 
     // Allocated on the heap, because the scenario contains a table of all slots.
-    std::unique_ptr<Scenario> play(uint64_t seed, size_t length, SlotGuards guards)
+    std::unique_ptr<Scenario> runScenario(uint64_t seed, size_t length, SlotGuards guards)
     {
         Random random(seed);
         auto scenario = std::make_unique<Scenario>(guards);
         for (size_t i = 0; i < length; i++)
             scenario->step(static_cast<uint32_t>(random()));
-        scenario->settle();
+        scenario->drain();
         return scenario;
     }
 
@@ -296,33 +296,34 @@
 } // namespace
 
 // Random steps over several keys and slots must not violate at-most-once execution.
-RC_GTEST_PROP(SlotProperty, ManyKeysAndSlotsKeepTheirPromisesInRandomOrder, ())
+RC_GTEST_PROP(SlotProperty, RandomStepsNeverViolateAtMostOnce, ())
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     auto length = *rc::gen::inRange<size_t>(0, 3000);
-    auto scenario = play(seed, length, {});
-    RC_ASSERT(scenario->keepsPromises());
+    auto scenario = runScenario(seed, length, {});
+    RC_ASSERT(scenario->isAtMostOnce());
     RC_TAG(scenario->dispatched() ? "some requests were dispatched" : "no request was dispatched");
 }
 
 // Guards against a scenario that never reaches a violation: with a guard disabled, random steps must find one.
-TEST(SlotProperty, RandomOrderFindsMissingGuards)
+TEST(SlotProperty, RandomStepsDetectDisabledGuards)
 {
     for (auto guard : { &SlotGuards::grantWaitsForWitness, &SlotGuards::voidWaitsForWitness,
-             &SlotGuards::attemptsAreOrdered, &SlotGuards::onlyTheHolderVoidsItsGrant, &SlotGuards::lateGrantIsUnused,
-             &SlotGuards::membersAreIncarnations, &SlotGuards::lostKeysExpire, &SlotGuards::sealedSaysNoVerdict }) {
+             &SlotGuards::voidedAttemptsAreRefused, &SlotGuards::onlyHolderVoidsGrant,
+             &SlotGuards::cancelledArrivalIgnoresGrant, &SlotGuards::membersMatchByIncarnation,
+             &SlotGuards::keysBeforeResetExpire, &SlotGuards::sealedOwnerGivesNoVerdict }) {
         SlotGuards guards;
         guards.*guard = false;
         uint64_t seed = 1;
         constexpr uint64_t seeds = 2000;
-        while (seed <= seeds && play(seed, 2000, guards)->keepsPromises())
+        while (seed <= seeds && runScenario(seed, 2000, guards)->isAtMostOnce())
             seed++;
         EXPECT_LE(seed, seeds);
     }
 }
 
 // The owner's records of one key are ordered, but may be delayed, duplicated and reordered in transit.
-RC_GTEST_PROP(SlotProperty, JournalEndsAtTheLatestEntryInAnyOrder, ())
+RC_GTEST_PROP(SlotProperty, JournalKeepsLatestEntryInAnyOrder, ())
 {
     std::vector<JournalEntry> entries { entryAt(0, 1), entryAt(1, 0), entryAt(1, 2), entryAt(3, 0), entryAt(3, 4) };
     auto order = *rc::gen::container<std::vector<size_t>>(rc::gen::inRange<size_t>(0, entries.size()));
@@ -337,7 +338,7 @@
 }
 
 // A journal that is split into parts and merged in another order must have the same entries.
-RC_GTEST_PROP(SlotProperty, JournalSurvivesSplittingAndTakingInAnyOrder, ())
+RC_GTEST_PROP(SlotProperty, JournalSurvivesSplittingAndMergingInAnyOrder, ())
 {
     auto keys = *rc::gen::container<std::set<std::string>>(rc::gen::arbitrary<std::string>());
     auto perPart = *rc::gen::inRange<size_t>(1, 5);
@@ -346,8 +347,8 @@
     for (const std::string& key : keys) {
         JournalEntry entry = entryAt(0, 1);
         entry.key = key;
-        entry.issued = start + Milliseconds(1);
-        entry.grantedAt.id.name = key;
+        entry.issuedAt = start + Milliseconds(1);
+        entry.holderNode.id.name = key;
         journal.keep(entry);
     }
     auto parts = journal.split(perPart);
@@ -362,18 +363,18 @@
 }
 
 // Minted keys must parse to the values that they were formatted from.
-RC_GTEST_PROP(SlotProperty, MintedKeyNamesItsSlotAndIssueTime, ())
+RC_GTEST_PROP(SlotProperty, MintedKeyContainsSlotAndIssueTime, ())
 {
     MintedKey minted;
     minted.slot = *rc::gen::inRange<uint32_t>(0, slotCount);
-    minted.issued = WallTime(Milliseconds(*rc::gen::inRange<int64_t>(0, int64_t(1) << 47)));
+    minted.issuedAt = WallTime(Milliseconds(*rc::gen::inRange<int64_t>(0, int64_t(1) << 47)));
     minted.incarnation = *rc::gen::arbitrary<uint64_t>();
     minted.serial = *rc::gen::arbitrary<uint32_t>();
     std::string key = minted.toString();
     RC_ASSERT(slotOf(key) == minted.slot);
     auto parsed = MintedKey::parse(key);
     RC_ASSERT(parsed.has_value());
-    RC_ASSERT(parsed->issued == minted.issued);
+    RC_ASSERT(parsed->issuedAt == minted.issuedAt);
     RC_ASSERT(parsed->toString() == key);
     // A key with one changed character must either not parse, or parse to values that format to the same text.
     key[*rc::gen::inRange<size_t>(0, key.size())] = *rc::gen::arbitrary<char>();
@@ -383,7 +384,7 @@
 }
 
 // If a caller resends a key with a later issue time, its entry must be retained until that time expires.
-TEST(SlotMember, LaterIssueTimeExtendsWhatIsRemembered)
+TEST(SlotMember, LaterIssueTimeExtendsRetention)
 {
     SlotLimits limits;
     NodeInfo self;
@@ -394,21 +395,21 @@
     assignment.owner = self;
     assignment.startsEmpty = true;
     member.assign(assignment);
-    auto ask = [&](uint64_t arrival, WallTime issued, WallTime now) {
+    auto sendRequest = [&](uint64_t arrival, WallTime issuedAt, WallTime now) {
         SlotActions actions;
-        PermitRequest request { 0, 1, { "key", 1, issued }, { 1, arrival }, self };
-        member.on(request, now, actions);
+        PermitRequest request { 0, 1, { "key", 1, issuedAt }, { 1, arrival }, self };
+        member.handle(request, now, actions);
         return std::get<PermitReply>(std::get<SlotSend>(actions.back()).message).answer;
     };
     WallTime later = start + Milliseconds(3'000'000);
-    EXPECT_EQ(ask(1, start, start), PermitAnswer::Granted);
-    EXPECT_EQ(ask(2, later, later), PermitAnswer::HeldByOther);
-    WallTime pastTheFirst = start + limits.retention + 2 * limits.clockSkew;
-    member.forget(pastTheFirst);
-    EXPECT_EQ(ask(3, later, pastTheFirst), PermitAnswer::HeldByOther);
-    EXPECT_EQ(ask(4, pastTheFirst + 2 * limits.clockSkew, pastTheFirst), PermitAnswer::HeldByOther);
-    member.forget(later + limits.retention + 2 * limits.clockSkew);
-    EXPECT_EQ(ask(5, later, later + limits.retention + 2 * limits.clockSkew), PermitAnswer::Expired);
+    EXPECT_EQ(sendRequest(1, start, start), PermitAnswer::Granted);
+    EXPECT_EQ(sendRequest(2, later, later), PermitAnswer::HeldByOther);
+    WallTime afterFirstExpiry = start + limits.retention + 2 * limits.maxClockSkew;
+    member.dropExpired(afterFirstExpiry);
+    EXPECT_EQ(sendRequest(3, later, afterFirstExpiry), PermitAnswer::HeldByOther);
+    EXPECT_EQ(sendRequest(4, afterFirstExpiry + 2 * limits.maxClockSkew, afterFirstExpiry), PermitAnswer::HeldByOther);
+    member.dropExpired(later + limits.retention + 2 * limits.maxClockSkew);
+    EXPECT_EQ(sendRequest(5, later, later + limits.retention + 2 * limits.maxClockSkew), PermitAnswer::Expired);
 }
 
 // The issue time encoded in a minted key overrides the one in the request.
@@ -426,7 +427,7 @@
     WallTime now = start + limits.retention + Milliseconds(1);
     SlotActions actions;
     PermitRequest request { 0, 1, { MintedKey { 0, start, 7, 7 }.toString(), 1, now }, { 1, 1 }, self };
-    member.on(request, now, actions);
+    member.handle(request, now, actions);
     EXPECT_EQ(std::get<PermitReply>(std::get<SlotSend>(actions.back()).message).answer, PermitAnswer::Expired);
 }
 
--- a/tests/coordination/slotservice_test.cpp
+++ b/tests/coordination/slotservice_test.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-    constexpr Milliseconds giveUpTestAfter { 30'000 };
+    constexpr Milliseconds testTimeout { 30'000 };
 
     SlotService::Settings fastSettings()
     {
         SlotService::Settings settings;
-        settings.resend = Milliseconds(10);
-        settings.patience = Milliseconds(20'000);
-        settings.partnerGrace = Milliseconds(30);
-        settings.aloneGrace = Milliseconds(60);
-        settings.repropose = Milliseconds(40);
-        settings.clockSkew = Milliseconds(200);
+        settings.resendInterval = Milliseconds(10);
+        settings.maxWait = Milliseconds(20'000);
+        settings.partnerTimeout = Milliseconds(30);
+        settings.noWitnessDelay = Milliseconds(60);
+        settings.reproposeInterval = Milliseconds(40);
+        settings.maxClockSkew = Milliseconds(200);
         return settings;
     }
 
@@ -37,13 +37,13 @@
             for (size_t i = 0; i < size; i++)
                 add("n" + std::to_string(i), "zone" + std::to_string(i % 3));
             for (size_t i = 0; i < size; i++)
-                run(i);
+                startThread(i);
         }
 
         ~Cluster()
         {
             for (auto& node : m_nodes)
-                halt(*node);
+                stopThread(*node);
         }
 
         SlotService& operator[](size_t index) { return *m_nodes[index]->service; }
@@ -52,7 +52,7 @@
         size_t start(const std::string& name, const std::string& zone)
         {
             size_t index = add(name, zone);
-            run(index);
+            startThread(index);
             return index;
         }
 
@@ -69,11 +69,11 @@
                 std::lock_guard lock(m_mutex);
                 m_nodes[index]->isLive = false;
             }
-            halt(*m_nodes[index]);
+            stopThread(*m_nodes[index]);
         }
 
         // Marks this incarnation as proven gone.
-        void proveGone(size_t index)
+        void markProvenGone(size_t index)
         {
             std::lock_guard lock(m_mutex);
             m_gone.push_back(m_nodes[index]->info.id);
@@ -87,10 +87,10 @@
         }
 
         // Drops all messages between two nodes; both stay listed as live.
-        void cut(size_t left, size_t right)
+        void cutLink(size_t left, size_t right)
         {
             std::lock_guard lock(m_mutex);
-            m_cut = { m_nodes[left]->info.id, m_nodes[right]->info.id };
+            m_cutLink = { m_nodes[left]->info.id, m_nodes[right]->info.id };
         }
 
         void setLogReachable(bool reachable)
@@ -129,7 +129,7 @@
         // Checks the predicate after each event in the cluster until it holds or the test times out.
         template <typename Predicate>::testing::AssertionResult eventually(Predicate&& holds)
         {
-            MonotonicTime end = monotonicNow() + giveUpTestAfter;
+            MonotonicTime end = monotonicNow() + testTimeout;
             std::unique_lock lock(m_mutex);
             while (monotonicNow() < end) {
                 lock.unlock();
@@ -158,7 +158,7 @@
             NodeInfo info;
             std::unique_ptr<SlotService> service;
             std::deque<std::function<void()>> inbox;
-            std::condition_variable filled;
+            std::condition_variable inboxChanged;
             bool isStopping = false;
             bool isLive = true;
             std::thread thread;
@@ -173,18 +173,18 @@
                 if (!isCut(from, to.id))
                     post(to.id, message);
             };
-            auto propose = [this](const SlotsProposal& proposal) { append(proposal); };
+            auto propose = [this](const SlotsProposal& proposal) { appendProposal(proposal); };
             node->service = std::make_unique<SlotService>(node->info, m_settings, send, propose);
             std::lock_guard lock(m_mutex);
-            node->inbox.push_back(foldOf(*node, allSlots()));
+            node->inbox.push_back(assignmentUpdate(*node, allSlots()));
             m_nodes.push_back(std::move(node));
             return m_nodes.size() - 1;
         }
 
-        void run(size_t index)
+        void startThread(size_t index)
         {
             Node* node = m_nodes[index].get();
-            node->thread = std::thread([this, node] { loop(*node); });
+            node->thread = std::thread([this, node] { runNode(*node); });
         }
 
         static std::vector<uint32_t> allSlots()
@@ -194,22 +194,23 @@
             return slots;
         }
 
-        void halt(Node& node)
+        void stopThread(Node& node)
         {
             {
                 std::lock_guard lock(m_mutex);
                 node.isStopping = true;
             }
-            node.filled.notify_all();
+            node.inboxChanged.notify_all();
             if (node.thread.joinable())
                 node.thread.join();
         }
 
-        void loop(Node& node)
+        void runNode(Node& node)
         {
             std::unique_lock lock(m_mutex);
             while (!node.isStopping) {
-                node.filled.wait_for(lock, Milliseconds(5), [&] { return node.isStopping || !node.inbox.empty(); });
+                node.inboxChanged.wait_for(
+                    lock, Milliseconds(5), [&] { return node.isStopping || !node.inbox.empty(); });
                 std::deque<std::function<void()>> work;
                 work.swap(node.inbox);
                 std::vector<NodeInfo> live = liveNodes();
@@ -236,7 +237,7 @@
         bool isCut(const NodeId& from, const NodeId& to)
         {
             std::lock_guard lock(m_mutex);
-            return m_cut == std::pair(from, to) || m_cut == std::pair(to, from);
+            return m_cutLink == std::pair(from, to) || m_cutLink == std::pair(to, from);
         }
 
         void post(const NodeId& to, const SlotMessage& message)
@@ -246,11 +247,11 @@
                 if (node->info.id != to || node->isStopping)
                     continue;
                 node->inbox.emplace_back([service = node->service.get(), message] { service->deliver(message); });
-                node->filled.notify_all();
+                node->inboxChanged.notify_all();
             }
         }
 
-        void append(const SlotsProposal& proposal)
+        void appendProposal(const SlotsProposal& proposal)
         {
             std::lock_guard lock(m_mutex);
             if (!m_isLogReachable)
@@ -258,16 +259,16 @@
             m_proposals++;
             auto changed = m_table.apply(proposal);
             for (auto& node : m_nodes) {
-                node->inbox.push_back(foldOf(*node, changed));
-                node->filled.notify_all();
+                node->inbox.push_back(assignmentUpdate(*node, changed));
+                node->inboxChanged.notify_all();
             }
         }
 
-        std::function<void()> foldOf(const Node& node, std::vector<uint32_t> slots) const
+        std::function<void()> assignmentUpdate(const Node& node, std::vector<uint32_t> slots) const
         {
             auto table = std::make_shared<const SlotTable>(m_table);
             return [service = node.service.get(), table, slots = std::move(slots)] {
-                service->assignmentsChanged(*table, slots);
+                service->applyAssignments(*table, slots);
             };
         }
 
@@ -276,34 +277,35 @@
         std::condition_variable m_changed;
         std::vector<std::unique_ptr<Node>> m_nodes;
         std::vector<NodeId> m_gone;
-        std::pair<NodeId, NodeId> m_cut;
+        std::pair<NodeId, NodeId> m_cutLink;
         SlotTable m_table;
         bool m_isLogReachable = true;
         size_t m_proposals = 0;
         uint64_t m_lastIncarnation = 100;
     };
 
-    RequestKey keyed(std::string key, uint32_t attempt = 1)
+    RequestKey requestFor(std::string key, uint32_t attempt = 1)
     {
         RequestKey request;
         request.key = std::move(key);
         request.attempt = attempt;
-        request.issued = wallNow();
+        request.issuedAt = wallNow();
         return request;
     }
 
-    MonotonicTime soon() { return monotonicNow() + giveUpTestAfter; }
+    MonotonicTime testDeadline() { return monotonicNow() + testTimeout; }
 
     ArrivalId arrival(uint64_t serial) { return { 1, serial }; }
 
     // Waits until a permit request from that node is granted in the slot. The service's own time-out may be short.
-    ::testing::AssertionResult grantsIn(Cluster& cluster, size_t node, uint32_t slot)
+    ::testing::AssertionResult isEventuallyGranted(Cluster& cluster, size_t node, uint32_t slot)
     {
         uint32_t serial = 0;
         return cluster.eventually([&] {
             MintedKey key { slot, wallNow(), 99, ++serial };
             ArrivalId arrival { 2, serial };
-            return cluster[node].permit(keyed(key.toString()), arrival, soon()).answer == PermitAnswer::Granted;
+            return cluster[node].permit(requestFor(key.toString()), arrival, testDeadline()).answer
+                == PermitAnswer::Granted;
         });
     }
 
@@ -313,7 +315,7 @@
 TEST(SlotService, FirstAssignmentIsFewRecordsSpreadOverZones)
 {
     SlotService::Settings settings = fastSettings();
-    settings.repropose = giveUpTestAfter;
+    settings.reproposeInterval = testTimeout;
     Cluster cluster(3, settings);
     ASSERT_TRUE(cluster.allAssigned());
     EXPECT_EQ(cluster.proposals(), slotCount / 256);
@@ -333,63 +335,64 @@
     Cluster cluster(3);
     ASSERT_TRUE(cluster.allAssigned());
     for (uint64_t round = 0; round < 50; round++) {
-        RequestKey request = keyed("race-" + std::to_string(round));
+        RequestKey request = requestFor("race-" + std::to_string(round));
         PermitOutcome outcomes[2];
-        std::thread first([&] { outcomes[0] = cluster[0].permit(request, arrival(2 * round), soon()); });
-        std::thread second([&] { outcomes[1] = cluster[1].permit(request, arrival(2 * round + 1), soon()); });
+        std::thread first([&] { outcomes[0] = cluster[0].permit(request, arrival(2 * round), testDeadline()); });
+        std::thread second([&] { outcomes[1] = cluster[1].permit(request, arrival(2 * round + 1), testDeadline()); });
         first.join();
         second.join();
         std::multiset<PermitAnswer> answers { outcomes[0].answer, outcomes[1].answer };
         EXPECT_EQ(answers, (std::multiset { PermitAnswer::Granted, PermitAnswer::HeldByOther }));
         size_t loser = outcomes[0].answer == PermitAnswer::Granted ? 1 : 0;
-        EXPECT_EQ(outcomes[loser].entry.grantedAt.id, cluster.info(1 - loser).id);
+        EXPECT_EQ(outcomes[loser].entry.holderNode.id, cluster.info(1 - loser).id);
     }
 }
 
 // A voided attempt must never be granted, while the next attempt may be; only the holder can void a grant.
-TEST(SlotService, RefusalVoidsTheAttemptAndNamesWhatMayRun)
+TEST(SlotService, VoidedAttemptIsNeverGranted)
 {
     Cluster cluster(3);
     ASSERT_TRUE(cluster.allAssigned());
-    PermitOutcome refused = cluster[0].makeVoid(keyed("refused"), arrival(1), soon());
+    PermitOutcome refused = cluster[0].makeVoid(requestFor("refused"), arrival(1), testDeadline());
     EXPECT_EQ(refused.answer, PermitAnswer::Voided);
-    EXPECT_EQ(cluster[1].permit(keyed("refused"), arrival(2), soon()).answer, PermitAnswer::Voided);
-    EXPECT_EQ(cluster[2].permit(keyed("refused", 2), arrival(3), soon()).answer, PermitAnswer::Granted);
-    PermitOutcome late = cluster[1].makeVoid(keyed("refused", 2), arrival(4), soon());
+    EXPECT_EQ(cluster[1].permit(requestFor("refused"), arrival(2), testDeadline()).answer, PermitAnswer::Voided);
+    EXPECT_EQ(cluster[2].permit(requestFor("refused", 2), arrival(3), testDeadline()).answer, PermitAnswer::Granted);
+    PermitOutcome late = cluster[1].makeVoid(requestFor("refused", 2), arrival(4), testDeadline());
     EXPECT_EQ(late.answer, PermitAnswer::HeldByOther);
-    PermitOutcome own = cluster[2].makeVoid(keyed("refused", 2), arrival(3), soon());
+    PermitOutcome own = cluster[2].makeVoid(requestFor("refused", 2), arrival(3), testDeadline());
     EXPECT_EQ(own.answer, PermitAnswer::Voided);
 }
 
 // If the owner crashes, the witness replaces it, and the new epoch must still contain the grant.
-TEST(SlotService, NewEpochRemembersAGrantWhenTheOwnerIsLost)
+TEST(SlotService, NewEpochKeepsGrantWhenOwnerCrashes)
 {
     Cluster cluster(4);
     ASSERT_TRUE(cluster.allAssigned());
-    RequestKey request = keyed("kept");
+    RequestKey request = requestFor("kept");
     uint32_t slot = slotOf(request.key);
     SlotAssignment before = cluster.assignment(slot);
     size_t owner = cluster.indexOf(before.owner.id);
     size_t witness = cluster.indexOf(before.witness.id);
-    ASSERT_EQ(cluster[witness].permit(request, arrival(1), soon()).answer, PermitAnswer::Granted);
+    ASSERT_EQ(cluster[witness].permit(request, arrival(1), testDeadline()).answer, PermitAnswer::Granted);
     cluster.kill(owner);
-    PermitOutcome outcome = cluster[witness].permit(request, arrival(2), soon());
+    PermitOutcome outcome = cluster[witness].permit(request, arrival(2), testDeadline());
     EXPECT_EQ(outcome.answer, PermitAnswer::HeldByOther);
     EXPECT_EQ(outcome.entry.grantedTo, arrival(1));
     ASSERT_TRUE(cluster.eventually([&] { return cluster.assignment(slot).epoch == 2; }));
     EXPECT_EQ(cluster.assignment(slot).owner.id, before.witness.id);
-    EXPECT_EQ(cluster[witness].permit(keyed("kept", 2), arrival(3), soon()).answer, PermitAnswer::HeldByOther);
-    EXPECT_EQ(cluster[witness].permit(keyed("new"), arrival(4), soon()).answer, PermitAnswer::Granted);
+    EXPECT_EQ(
+        cluster[witness].permit(requestFor("kept", 2), arrival(3), testDeadline()).answer, PermitAnswer::HeldByOther);
+    EXPECT_EQ(cluster[witness].permit(requestFor("new"), arrival(4), testDeadline()).answer, PermitAnswer::Granted);
 }
 
 // If both members crash, the slot must be reset only if both are proven gone, and earlier keys must expire.
-TEST(SlotService, BothLostStartAnewOnlyOnProofAndOldKeysMayHaveRun)
+TEST(SlotService, SlotIsResetOnlyOnProofThatBothMembersAreGone)
 {
     SlotService::Settings settings = fastSettings();
-    settings.patience = Milliseconds(200);
+    settings.maxWait = Milliseconds(200);
     Cluster cluster(4, settings);
     ASSERT_TRUE(cluster.allAssigned());
-    RequestKey request = keyed("lost");
+    RequestKey request = requestFor("lost");
     uint32_t slot = slotOf(request.key);
     SlotAssignment before = cluster.assignment(slot);
     size_t owner = cluster.indexOf(before.owner.id);
@@ -397,62 +400,66 @@
     size_t other = 0;
     while (other == owner || other == witness)
         other++;
-    ASSERT_TRUE(grantsIn(cluster, other, slot));
-    ASSERT_EQ(cluster[other].permit(request, arrival(1), soon()).answer, PermitAnswer::Granted);
+    ASSERT_TRUE(isEventuallyGranted(cluster, other, slot));
+    ASSERT_EQ(cluster[other].permit(request, arrival(1), testDeadline()).answer, PermitAnswer::Granted);
     cluster.kill(owner);
     cluster.kill(witness);
-    EXPECT_EQ(cluster[other].permit(request, arrival(2), soon()).answer, PermitAnswer::Undecided);
-    cluster.proveGone(owner);
-    EXPECT_EQ(cluster[other].permit(request, arrival(3), soon()).answer, PermitAnswer::Undecided);
+    EXPECT_EQ(cluster[other].permit(request, arrival(2), testDeadline()).answer, PermitAnswer::Undecided);
+    cluster.markProvenGone(owner);
+    EXPECT_EQ(cluster[other].permit(request, arrival(3), testDeadline()).answer, PermitAnswer::Undecided);
     EXPECT_EQ(cluster.assignment(slot).epoch, 1U);
-    cluster.proveGone(witness);
+    cluster.markProvenGone(witness);
     ASSERT_TRUE(cluster.eventually([&] { return cluster.assignment(slot).epoch == 2; }));
     uint64_t serial = 3;
-    ASSERT_TRUE(cluster.eventually(
-        [&] { return cluster[other].permit(request, arrival(++serial), soon()).answer == PermitAnswer::Expired; }));
-    EXPECT_EQ(cluster[other].makeVoid(request, arrival(++serial), soon()).answer, PermitAnswer::Expired);
+    ASSERT_TRUE(cluster.eventually([&] {
+        return cluster[other].permit(request, arrival(++serial), testDeadline()).answer == PermitAnswer::Expired;
+    }));
+    EXPECT_EQ(cluster[other].makeVoid(request, arrival(++serial), testDeadline()).answer, PermitAnswer::Expired);
 }
 
 // With the log unreachable and a node dead, slots with two live members must keep granting, and minted keys must be in
 // such slots.
-TEST(SlotService, LogOutageLeavesSlotsOfLiveMembersWorking)
+TEST(SlotService, SlotsOfLiveMembersWorkDuringLogOutage)
 {
     SlotService::Settings settings = fastSettings();
-    settings.patience = Milliseconds(1'000);
+    settings.maxWait = Milliseconds(1'000);
     Cluster cluster(4, settings);
     ASSERT_TRUE(cluster.allAssigned());
     cluster.setLogReachable(false);
     cluster.kill(3);
     NodeId dead = cluster.info(3).id;
-    auto isHit = [&](uint32_t slot) {
+    auto hasDeadMember = [&](uint32_t slot) {
         SlotAssignment assignment = cluster.assignment(slot);
         return assignment.owner.id == dead || assignment.witness.id == dead;
     };
-    ASSERT_TRUE(cluster.eventually([&] { return !isHit(slotOf(cluster[0].mintKey(wallNow()))); }));
+    ASSERT_TRUE(cluster.eventually([&] { return !hasDeadMember(slotOf(cluster[0].mintKey(wallNow()))); }));
     uint64_t serial = 0;
-    std::string undecided;
+    std::string undecidedKey;
     for (int i = 0; i < 20; i++) {
         std::string minted = cluster[0].mintKey(wallNow());
-        EXPECT_EQ(cluster[1].permit(keyed(minted), arrival(++serial), soon()).answer, PermitAnswer::Granted) << minted;
+        EXPECT_EQ(
+            cluster[1].permit(requestFor(minted), arrival(++serial), testDeadline()).answer, PermitAnswer::Granted)
+            << minted;
         std::string hashed = "hashed-" + std::to_string(i);
-        bool isRefused = isHit(slotOf(hashed));
-        if (isRefused && !undecided.empty())
+        bool isRefused = hasDeadMember(slotOf(hashed));
+        if (isRefused && !undecidedKey.empty())
             continue;
-        PermitAnswer answer = cluster[1].permit(keyed(hashed), arrival(++serial), soon()).answer;
+        PermitAnswer answer = cluster[1].permit(requestFor(hashed), arrival(++serial), testDeadline()).answer;
         EXPECT_EQ(answer, isRefused ? PermitAnswer::Undecided : PermitAnswer::Granted) << hashed;
         if (isRefused)
-            undecided = hashed;
+            undecidedKey = hashed;
     }
-    ASSERT_FALSE(undecided.empty());
+    ASSERT_FALSE(undecidedKey.empty());
     // Once the log is reachable again, the attempt that timed out is voided, and the caller's next attempt is granted.
     cluster.setLogReachable(true);
-    PermitOutcome again;
+    PermitOutcome retried;
     ASSERT_TRUE(cluster.eventually([&] {
-        again = cluster[2].makeVoid(keyed(undecided), arrival(++serial), soon());
-        return again.answer != PermitAnswer::Undecided;
+        retried = cluster[2].makeVoid(requestFor(undecidedKey), arrival(++serial), testDeadline());
+        return retried.answer != PermitAnswer::Undecided;
     }));
-    EXPECT_EQ(again.answer, PermitAnswer::Voided);
-    EXPECT_EQ(cluster[2].permit(keyed(undecided, 2), arrival(++serial), soon()).answer, PermitAnswer::Granted);
+    EXPECT_EQ(retried.answer, PermitAnswer::Voided);
+    EXPECT_EQ(cluster[2].permit(requestFor(undecidedKey, 2), arrival(++serial), testDeadline()).answer,
+        PermitAnswer::Granted);
 }
 
 // Handing slots over before a planned stop must preserve their journals.
@@ -461,63 +468,67 @@
     Cluster cluster(4);
     ASSERT_TRUE(cluster.allAssigned());
     for (uint64_t i = 0; i < 100; i++)
-        ASSERT_EQ(
-            cluster[1].permit(keyed("stop-" + std::to_string(i)), arrival(i), soon()).answer, PermitAnswer::Granted);
+        ASSERT_EQ(cluster[1].permit(requestFor("stop-" + std::to_string(i)), arrival(i), testDeadline()).answer,
+            PermitAnswer::Granted);
     cluster.markStopping(0);
     ASSERT_TRUE(cluster.eventually([&] { return cluster[0].handOver(cluster.live()); }));
-    NodeId left = cluster.info(0).id;
+    NodeId stoppedNode = cluster.info(0).id;
     for (uint32_t slot = 0; slot < slotCount; slot++) {
-        ASSERT_NE(cluster.assignment(slot).owner.id, left);
-        ASSERT_NE(cluster.assignment(slot).witness.id, left);
+        ASSERT_NE(cluster.assignment(slot).owner.id, stoppedNode);
+        ASSERT_NE(cluster.assignment(slot).witness.id, stoppedNode);
     }
     cluster.kill(0);
     for (uint64_t i = 0; i < 100; i++) {
-        PermitOutcome outcome = cluster[2].permit(keyed("stop-" + std::to_string(i)), arrival(1000 + i), soon());
+        PermitOutcome outcome
+            = cluster[2].permit(requestFor("stop-" + std::to_string(i)), arrival(1000 + i), testDeadline());
         EXPECT_EQ(outcome.answer, PermitAnswer::HeldByOther);
         EXPECT_EQ(outcome.entry.grantedTo, arrival(i));
     }
 }
 
 // A witness that is listed as live but acknowledges no records must be replaced.
-TEST(SlotService, WitnessThatDoesNotAnswerIsReplaced)
+TEST(SlotService, UnresponsiveWitnessIsReplaced)
 {
     Cluster cluster(4);
     ASSERT_TRUE(cluster.allAssigned());
-    RequestKey request = keyed("unheard");
+    RequestKey request = requestFor("unheard");
     uint32_t slot = slotOf(request.key);
     SlotAssignment before = cluster.assignment(slot);
     size_t owner = cluster.indexOf(before.owner.id);
-    cluster.cut(owner, cluster.indexOf(before.witness.id));
-    EXPECT_EQ(cluster[owner].permit(request, arrival(1), soon()).answer, PermitAnswer::Granted);
+    cluster.cutLink(owner, cluster.indexOf(before.witness.id));
+    EXPECT_EQ(cluster[owner].permit(request, arrival(1), testDeadline()).answer, PermitAnswer::Granted);
     EXPECT_EQ(cluster.assignment(slot).epoch, 2U);
     EXPECT_NE(cluster.assignment(slot).witness.id, before.witness.id);
 }
 
 // A single node grants without a witness. After its restart, keys issued before must expire, because they may have run.
-TEST(SlotService, LoneNodeForgetsByARestartAndSaysSo)
+TEST(SlotService, KeysExpireAfterRestartOfASingleNode)
 {
     SlotService::Settings settings = fastSettings();
-    settings.patience = Milliseconds(200);
+    settings.maxWait = Milliseconds(200);
     Cluster cluster(1, settings);
     ASSERT_TRUE(cluster.allAssigned());
-    RequestKey request = keyed("lone");
-    ASSERT_TRUE(grantsIn(cluster, 0, slotOf(request.key)));
-    ASSERT_EQ(cluster[0].permit(request, arrival(1), soon()).answer, PermitAnswer::Granted);
-    ASSERT_EQ(cluster[0].permit(request, arrival(2), soon()).answer, PermitAnswer::HeldByOther);
+    RequestKey request = requestFor("lone");
+    ASSERT_TRUE(isEventuallyGranted(cluster, 0, slotOf(request.key)));
+    ASSERT_EQ(cluster[0].permit(request, arrival(1), testDeadline()).answer, PermitAnswer::Granted);
+    ASSERT_EQ(cluster[0].permit(request, arrival(2), testDeadline()).answer, PermitAnswer::HeldByOther);
     size_t next = cluster.restart(0);
-    EXPECT_EQ(cluster[next].permit(request, arrival(3), soon()).answer, PermitAnswer::Undecided);
-    cluster.proveGone(0);
+    EXPECT_EQ(cluster[next].permit(request, arrival(3), testDeadline()).answer, PermitAnswer::Undecided);
+    cluster.markProvenGone(0);
     uint64_t serial = 3;
-    ASSERT_TRUE(cluster.eventually(
-        [&] { return cluster[next].permit(request, arrival(++serial), soon()).answer == PermitAnswer::Expired; }));
+    ASSERT_TRUE(cluster.eventually([&] {
+        return cluster[next].permit(request, arrival(++serial), testDeadline()).answer == PermitAnswer::Expired;
+    }));
     ASSERT_TRUE(cluster.eventually([&] { return !cluster[next].mintKey(wallNow()).empty(); }));
-    ASSERT_TRUE(grantsIn(cluster, next, slotOf("fresh")));
-    EXPECT_EQ(cluster[next].permit(keyed("fresh"), arrival(++serial), soon()).answer, PermitAnswer::Granted);
+    ASSERT_TRUE(isEventuallyGranted(cluster, next, slotOf("fresh")));
+    EXPECT_EQ(
+        cluster[next].permit(requestFor("fresh"), arrival(++serial), testDeadline()).answer, PermitAnswer::Granted);
     // A second node starts and becomes the witness of every slot.
     cluster.start("n1", "zone1");
     ASSERT_TRUE(cluster.eventually([&] { return cluster.assignment(slotOf("fresh")).witness.id.name == "n1"; }));
     ASSERT_TRUE(cluster.eventually([&] {
-        return cluster[next].permit(keyed("fresh"), arrival(++serial), soon()).answer == PermitAnswer::HeldByOther;
+        return cluster[next].permit(requestFor("fresh"), arrival(++serial), testDeadline()).answer
+            == PermitAnswer::HeldByOther;
     }));
 }
 
@@ -530,18 +541,18 @@
     std::vector<NodeId> gone { nodes[0].id, nodes[1].id };
     SlotTable table;
     size_t resets = 0;
-    auto drop = [](const NodeInfo&, const SlotMessage&) {};
+    auto dropMessage = [](const NodeInfo&, const SlotMessage&) {};
     auto propose = [&](const SlotsProposal& proposal) {
         for (const SlotChange& change : proposal.changes)
             resets += change.journalLost;
     };
-    SlotService service(nodes[2], fastSettings(), drop, propose);
+    SlotService service(nodes[2], fastSettings(), dropMessage, propose);
     SlotAssignment assignment;
     assignment.epoch = 1;
     assignment.owner = nodes[0];
     assignment.witness = nodes[1];
     table.restore(0, assignment);
-    service.assignmentsChanged(table, std::array { 0U });
+    service.applyAssignments(table, std::array { 0U });
     MonotonicTime now = monotonicNow();
     auto tickWith = [&](std::span<const NodeInfo> live) {
         for (int i = 0; i < 20; i++)
@@ -552,9 +563,9 @@
     // A live list without this node itself must not make the node treat itself as the only one.
     tickWith(std::span(nodes).subspan(1, 1));
     EXPECT_EQ(resets, 0U);
-    std::vector<NodeInfo> fresh { nodes[2], nodes[2] };
-    fresh[0].id = { "n0", 70 };
-    tickWith(fresh);
+    std::vector<NodeInfo> restartedNodes { nodes[2], nodes[2] };
+    restartedNodes[0].id = { "n0", 70 };
+    tickWith(restartedNodes);
     EXPECT_GT(resets, 0U);
 }
 
--- a/tests/node/generators.h
+++ b/tests/node/generators.h
@@ -71,17 +71,17 @@
     return all;
 }
 
-inline auto fields(const RequestKey& key) { return std::tuple(key.key, key.attempt, key.issued); }
+inline auto fields(const RequestKey& key) { return std::tuple(key.key, key.attempt, key.issuedAt); }
 
 inline auto fields(const JournalEntry& entry)
 {
     return std::tuple(
-        entry.key, entry.issued, entry.voidedUpTo, entry.grantedAttempt, entry.grantedTo, entry.grantedAt);
+        entry.key, entry.issuedAt, entry.voidedUpTo, entry.grantedAttempt, entry.grantedTo, entry.holderNode);
 }
 
 template <typename Request> auto arrivalFields(const Request& in)
 {
-    return std::tuple(in.slot, in.epoch, fields(in.request), in.arrival, in.entry);
+    return std::tuple(in.slot, in.epoch, fields(in.requestKey), in.arrival, in.entryNode);
 }
 
 inline auto fields(const PermitRequest& in) { return arrivalFields(in); }
