--- a/tests/coordination/slotmodel.cpp
+++ b/tests/coordination/slotmodel.cpp
@@ -624,7 +624,7 @@
         return all;
     }
 
-    // A member may consider its partner gone at any time, whether or not it is.
+    // A member may replace its partner at any time, whether or not the partner is still running.
     template <typename Visit> void Model::memberSteps(const ModelState& state, Visit&& visit)
     {
         for (size_t node = 0; node < m_bounds.nodes; node++) {
--- a/tests/coordination/slotmodel.h
+++ b/tests/coordination/slotmodel.h
@@ -30,7 +30,7 @@
     std::vector<size_t> mayCrash { 0, 1, 2 };
     std::vector<size_t> mayCancel { 0, 1, 2, 3 }; // Indexes of arrivals.
     std::vector<SlotModelTakeover> takeovers; // If not empty, only these are explored.
-    bool replacesPartner = true; // A member may consider its partner gone at any time.
+    bool replacesPartner = true; // A member may replace its partner at any time.
     bool changesProposedPair = false; // A sealed member may change the partner that it proposes.
     bool mayHandOver = false; // A member may propose a pair without itself.
     bool mayLackWitness = false; // A member may propose itself without a witness.
