--- a/src/coordination/claimhealth.cpp
+++ b/src/coordination/claimhealth.cpp
@@ -22,7 +22,7 @@
     return views[rank];
 }
 
-// The engine's own word about its life beats the list, which lags.
+// The incarnation that the engine reports takes precedence over the platform's list, which lags behind.
 HostHealth ClaimHealth::host(const ClaimProposal& claim, size_t rank) const
 {
     const HostView* view = this->view(claim, rank);
@@ -35,7 +35,8 @@
     return view->isLeaving() ? HostHealth::Leaving : HostHealth::Present;
 }
 
-// What was before this node watched is not known to it: a host that it has not asked yet is not long silent.
+// This node has no data from before watchingSince, so the silence of a host that it has not probed yet is counted from
+// then.
 HostHealth ClaimHealth::silentHealth(const HostView& view, uint64_t incarnation) const
 {
     MonotonicTime otherwiseListedSince = std::max(view.listedSince, m_input.watchingSince);
@@ -84,9 +85,9 @@
     }
 }
 
-// With one host dead the whole replica is, and what it ran is lost already. One that only this node can't reach may
-// still be at work for callers, so it is given as long as a request may take. Otherwise every host has to say
-// that it runs nothing, at a time when no node sends work to the claim any more.
+// If one host is dead, the replica has failed and its requests are lost already. A host that is unreachable from this
+// node may still process requests, so it is given the longest time that a request may take. Otherwise every host must
+// report that it runs no requests, in a status requested after all nodes have stopped sending work to the claim.
 bool ClaimHealth::drained(const Claim& claim) const
 {
     auto ended = m_input.endedAt.find(claim.offset);
@@ -107,8 +108,9 @@
     return idle;
 }
 
-// An engine that checks fencing refuses late orders itself. For one that obeys anything, its answer counts only
-// if it was given after the former holder had stopped and after this node's own last order had landed.
+// An engine that checks fencing numbers rejects outdated orders itself. The status of an engine that ignores them is
+// final only if it was requested after the former holder's lease ended and after the last order of this node must have
+// arrived.
 bool ClaimHealth::settled(const HostView& view, Offset claim, FencingSupport fencing, const LeaseTenure& tenure) const
 {
     if (fencing == FencingSupport::Checked)
--- a/src/coordination/claimhealth.h
+++ b/src/coordination/claimhealth.h
@@ -8,16 +8,17 @@
 
 namespace Kumquatpick {
 
-// How one host of a claim is, in the life of it that was claimed.
+// State of one host of a claim, with respect to the incarnation of the host that the claim names.
 enum class HostHealth : uint8_t {
     Present,
-    Silent, // Does not answer, for a short while.
+    Silent, // Has not answered probes, for less than silentGrace.
     Leaving,
-    Lost, // Has not answered for long; it may still run.
-    Gone, // This life of it is over.
+    Lost, // Has not answered probes for at least silentGrace; its engine may still run.
+    Gone, // The claimed incarnation no longer exists.
 };
 
-// Judges claims against what is known of their hosts. Lives for one round; the claims must outlive it.
+// Evaluates claims against the current views of their hosts. An instance is valid for one round; the claims must
+// outlive it.
 class ClaimHealth {
 public:
     ClaimHealth(const ControllerInput&, const ControllerSettings&);
@@ -27,12 +28,12 @@
 
     bool whole(const Claim&) const;
     bool ready(const Claim&) const;
-    // Why the claim can't be kept, or empty.
+    // The reason to end the claim, or empty if it can be kept.
     std::string_view broken(const Claim&) const;
-    // Whether nothing that an unload would cut off can still be running on an ending claim.
+    // True if no request can still be running on an ending claim, so that an unload interrupts nothing.
     bool drained(const Claim&) const;
-    // Whether the engine's word can be trusted to be the last one: no order that may still arrive, from this
-    // node or from an earlier holder of the lease, would change it.
+    // True if the latest status of the engine is final: no order that may still arrive, from this node or from an
+    // earlier holder of the lease, can change it.
     bool settled(const HostView&, Offset claim, FencingSupport, const LeaseTenure&) const;
 
 private:
@@ -40,7 +41,8 @@
 
     const ControllerInput& m_input;
     const ControllerSettings& m_settings;
-    // Each claim is judged several times a round, and there may be a hundred thousand hosts to look among.
+    // Caches the host views of each claim: a claim is evaluated several times a round, and the map may hold a hundred
+    // thousand hosts.
     mutable std::unordered_map<const ClaimProposal*, std::vector<const HostView*>> m_views;
 };
 
--- a/src/coordination/codec.cpp
+++ b/src/coordination/codec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // An unset address is written as an empty string.
+    // An unset address is encoded as an empty string.
     std::string addressText(const Address& address)
     {
         return address == Address {} ? std::string() : address.toString();
@@ -77,11 +77,11 @@
 WallTime wallTimeFrom(const json& value)
 {
     if (!value.is_number_integer())
-        throw DecodeFailure("not a time in milliseconds");
+        throw DecodeFailure("expected an integer time in milliseconds");
     return WallTime(Milliseconds(value.get<int64_t>()));
 }
 
-// Bounded, so that adding it to a time can't overflow.
+// Limited to 32 bits, so that adding the duration to a time can't overflow.
 Milliseconds durationFrom(const json& value) { return Milliseconds(wholeNumber<uint32_t>(value)); }
 
 int64_t toMilliseconds(WallTime time) { return time.time_since_epoch().count(); }
--- a/src/coordination/codec.h
+++ b/src/coordination/codec.h
@@ -9,22 +9,22 @@
 
 namespace Kumquatpick {
 
-// JSON forms of what records and snapshots share. The from_json functions throw DecodeFailure or the JSON
-// library's own exceptions; decodeRecord() and State::restore() turn both into a Malformed error.
+// JSON encoding of the types that records and snapshots have in common. The decoding functions throw DecodeFailure or
+// the exceptions of the JSON library; decodeRecord() and State::restore() turn both into a Malformed error.
 
 class DecodeFailure : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-// A whole number that must fit the type: the library itself would wrap it silently.
+// Decodes an unsigned integer and checks its range: the JSON library would truncate a larger value without an error.
 template <typename Number> Number wholeNumber(const nlohmann::json& value)
 {
     if (!value.is_number_unsigned())
-        throw DecodeFailure("not a whole number");
+        throw DecodeFailure("expected an unsigned integer");
     auto wide = value.get<uint64_t>();
     if (wide > std::numeric_limits<Number>::max())
-        throw DecodeFailure("number too large");
+        throw DecodeFailure("integer out of range");
     return static_cast<Number>(wide);
 }
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // The services with each one after those it depends on: what others need loads and recovers first.
+    // Returns the services in dependency order, so that a service loads and recovers before those that depend on it.
     std::vector<const ServiceText*> dependenciesFirst(const OperatorsText& text)
     {
         std::vector<const ServiceText*> order;
@@ -35,23 +35,25 @@
             && claim.hosts.size() == service.hostsPerReplica;
     }
 
-    // A replica that is being built a second time in another domain.
+    // A replica that is being rebuilt in another domain.
     struct Move {
         const Claim* old = nullptr;
         const Claim* successor = nullptr;
     };
 
-    // The claims of one service that can be kept, ready ones first and older ones before newer.
+    // The claims of one service that can be kept, older ones first. endSurplus() moves ready ones to the front.
     struct ServiceClaims {
         std::vector<const Claim*> current;
-        std::vector<Move> moves; // Their old claims are current, their successors neither current nor missing.
-        std::vector<const Claim*> outdated; // Of another model, version or size.
+        // The old claims are also in `current`; the successors are not, and do not count as missing replicas.
+        std::vector<Move> moves;
+        std::vector<const Claim*> outdated; // Claims of another model, model version or number of hosts.
         size_t readyCurrent = 0;
         size_t ending = 0;
-        size_t unplaced = 0; // Replicas that fit nowhere in this round.
+        size_t unplaced = 0; // Missing replicas for which this round found no hosts.
     };
 
-    // Follows from the old claim alone: of two controllers that move the same replica at once only one gets the name.
+    // Derived from the old claim alone: if two controllers move the same replica at the same time, only one claim is
+    // accepted under the name.
     std::string successorName(const Claim& old) { return fmt::format("m{}", old.offset); }
 
     bool contains(const std::vector<const Claim*>& claims, Offset offset)
@@ -59,7 +61,7 @@
         return std::any_of(claims.begin(), claims.end(), [&](const Claim* claim) { return claim->offset == offset; });
     }
 
-    // One round of the controller: gathers the claims, then takes the steps in order of urgency.
+    // One round of the controller: collects the claims, then decides on the steps in order of urgency.
     class Round {
     public:
         Round(const ControllerInput& input, const ControllerSettings& settings, const PlacementRules& rules,
@@ -135,15 +137,17 @@
         ClaimHealth m_health;
         std::vector<const ServiceText*> m_services;
         std::map<std::string, ServiceClaims, std::less<>> m_claims;
-        std::map<std::string, std::set<std::string>, std::less<>> m_replicaNames; // By service.
+        // The replica names in use, by service.
+        std::map<std::string, std::set<std::string>, std::less<>> m_replicaNames;
         std::set<std::string_view> m_heldHosts;
         std::map<std::string, FreeDomain> m_freeDomains;
-        std::map<std::string, size_t, std::less<>> m_room; // Hosts of a domain that are free or will be, not promised.
-        size_t m_moves = 0; // Running, and begun in this round.
+        // Number of hosts of each domain that are free or about to become free, and are not reserved.
+        std::map<std::string, size_t, std::less<>> m_room;
+        size_t m_moves = 0; // Moves that are running, including those begun in this round.
         std::vector<ClaimProposal> m_proposed;
         std::vector<ControllerAction> m_actions;
         uint32_t m_proposals = 0;
-        size_t m_loading = 0; // Hosts that load, or are told to in this round.
+        size_t m_loading = 0; // Hosts that are loading, including those ordered to load in this round.
         bool m_loadsBlocked = false;
     };
 
@@ -199,8 +203,8 @@
         claims.readyCurrent += m_health.ready(claim);
     }
 
-    // A move to a version that nobody wants any more is given up: its old claim is all that the replica needs until
-    // its turn comes.
+    // A move whose target version is no longer wanted is cancelled. Its old claim keeps serving until the version
+    // change replaces it.
     void Round::gatherOutdated(const Claim& claim, ServiceClaims& claims)
     {
         Offset replaces = claim.proposal.replaces;
@@ -209,7 +213,8 @@
         claims.outdated.push_back(&claim);
     }
 
-    // The engines of a service that the text no longer names are held to be of the unsafe kind.
+    // If the service is no longer configured, its engines are assumed to ignore fencing numbers, which is the safe
+    // assumption.
     FencingSupport Round::fencingOf(const Claim& claim) const
     {
         const ServiceText* service = m_input.config->parsed.service(claim.proposal.service);
@@ -241,7 +246,8 @@
             const HostView& view = *m_health.view(claim.proposal, rank);
             bool runsNothing = view.phase == EnginePhase::Idle || view.claim != claim.offset;
             bool askedSince = ended != m_input.endedAt.end() && view.statusAt >= ended->second;
-            // 0 is no claim's offset: every order of this node may still arrive, those of this claim too.
+            // No claim has offset 0, so orders of any claim that this node sent, including this one, count as possibly
+            // still in flight.
             if (runsNothing && askedSince && m_health.settled(view, 0, fencingOf(claim), m_tenure))
                 confirmed.hosts.push_back(host);
         }
@@ -274,8 +280,8 @@
             std::move(hosts.begin(), hosts.end(), std::back_inserter(m_freeDomains[domain].hosts));
     }
 
-    // New replicas go onto free hosts beside outdated ones, which end as their successors become ready. Only
-    // when no host is free are outdated ones ended first, a few at a time.
+    // New replicas are placed on free hosts while outdated ones keep running; the outdated ones end as their successors
+    // become ready. Only if no hosts are free are outdated replicas ended first, a few at a time.
     void Round::scale(const ServiceText& service, ServiceClaims& claims)
     {
         endSurplus(service, claims);
@@ -322,7 +328,7 @@
             end(*claims.outdated[claims.outdated.size() - 1 - i], "version_change");
     }
 
-    // Whatever the placer's policy is, a replica's hosts are distinct, free, and in one domain.
+    // Checks the result of the placer: the hosts of a replica must be distinct, free, and in one domain.
     bool Round::usable(const ServiceText& service, const Placement& placement) const
     {
         auto domain = m_freeDomains.find(placement.domain);
@@ -369,7 +375,7 @@
         return propose(std::move(claim));
     }
 
-    // Make before break: the old claim ends, as every claim does, only once its successor serves.
+    // Ends the old claim of a move only after its successor is ready to serve.
     void Round::finishMoves()
     {
         for (auto& [name, claims] : m_claims) {
@@ -388,8 +394,8 @@
         std::replace(claims.current.begin(), claims.current.end(), move.old, move.successor);
     }
 
-    // Last of all placing, when it is known which services are short and what the others left. A node that seems
-    // cut off is in no place to judge.
+    // Runs after all other placement, when the services without room and the remaining free hosts are known. A node
+    // that seems disconnected begins no moves, as its view of the hosts is unreliable.
     void Round::beginMoves()
     {
         if (m_cutOff)
@@ -407,8 +413,8 @@
         }
     }
 
-    // Hosts that drain, that came back just now, or that running moves will leave are as good as free: without them
-    // a move would be begun again in every round until the first one's hosts are there.
+    // Hosts that are draining, that returned recently, or that running moves will release count as room. Otherwise each
+    // round would begin another move until the hosts released by the first one are free.
     void Round::countRoom()
     {
         auto addHosts = [&](const Claim& claim) {
@@ -436,8 +442,8 @@
         }
     }
 
-    // One that does not serve yet gains nothing by a second build. One whose move failed waits until that one's
-    // hosts are free again.
+    // Returns the claims that may be moved. A replica that is not ready would not benefit from a move. A replica whose
+    // last move failed must wait until the hosts of that move are free again.
     std::vector<const Claim*> Round::movable()
     {
         std::vector<const Claim*> found;
@@ -482,9 +488,10 @@
         return claim(moved, move->to, name, old.offset);
     }
 
-    // Whatever the mover's policy is, it leaves the domain that it makes room in, and takes no hosts that others count
-    // on. So only a smaller replica ever moves, and no two make room for each other in turn: had any domain room left
-    // for one as large as the service wants, that room would have been reserved for the service itself.
+    // Checks the result of the mover: the replica must leave the domain that needs room, and must not take reserved
+    // hosts. Therefore only a replica smaller than the one to be placed can move, and two replicas can't displace each
+    // other in turn: if any domain had room for a replica of the wanted size, that room would have been reserved for
+    // the service itself.
     bool Round::makesRoom(const ServiceText& service, const Claim& moved, const Placement& to) const
     {
         size_t size = moved.proposal.hosts.size();
@@ -494,7 +501,8 @@
             && roomLeft + size >= service.hostsPerReplica;
     }
 
-    // Down, with loads to do or under way. Replicas that lack a host load nothing.
+    // True if the replica is down and its hosts are loading or about to load. A replica that lacks a host loads
+    // nothing.
     bool Round::recovers(const Claim& claim) const { return m_health.whole(claim) && !m_health.ready(claim); }
 
     bool Round::recoveriesWait() const
@@ -505,7 +513,7 @@
         });
     }
 
-    // It is the replica that is down whose weights say whether others wait for it.
+    // Whether moves wait is decided by the service of the replica that is down.
     bool Round::movesYield() const
     {
         return std::any_of(m_services.begin(), m_services.end(), [&](const ServiceText* service) {
@@ -517,7 +525,8 @@
         });
     }
 
-    // Towards engines that obey anything, an order is given only while it must arrive within this node's tenure.
+    // An engine that ignores fencing numbers gets an order only if the order must arrive within the lease tenure of
+    // this node.
     bool Round::mayOrder(const HostView& host, Offset claim, FencingSupport fencing) const
     {
         if (fencing == FencingSupport::Checked)
@@ -583,7 +592,7 @@
         for (size_t rank = 0; rank < claim.proposal.hosts.size(); ++rank) {
             const HostView& view = *m_health.view(claim.proposal, rank);
             if (view.claim > claim.offset)
-                return; // This node's state is behind.
+                return; // This node has not yet read the newer claim.
             if (view.claim == claim.offset && view.phase != EnginePhase::Idle)
                 continue;
             if (!mayOrder(view, claim.offset, service.fencing))
@@ -599,8 +608,9 @@
             order(HostOrder::Kind::Load, claim, rank, &service);
     }
 
-    // A started replica is finished whatever else loads: half a replica serves nobody. Of the others the first
-    // that does not fit stops all after it, or small replicas would keep a large one that they depend on waiting.
+    // A replica whose load has started is completed regardless of the limit, as a partly loaded replica can't serve.
+    // The first replica that exceeds the limit blocks all after it; otherwise small replicas could delay a large one
+    // that they depend on indefinitely.
     bool Round::takeLoads(size_t loads, bool started)
     {
         bool fits = m_loading == 0 || m_loading + loads <= m_settings.hostsLoadingAtOnce;
@@ -611,8 +621,8 @@
         return true;
     }
 
-    // A node that most hosts do not answer is more likely cut off itself than right about all of them, and one
-    // without a list knows nothing of any.
+    // If most hosts do not answer this node, it is more likely that the node is disconnected than that all of them
+    // failed. A node without a list can't judge any host.
     bool seemsCutOff(const ControllerInput& input, const ControllerSettings& settings)
     {
         size_t listed = 0;
@@ -637,11 +647,12 @@
 {
     std::vector<ControllerAction> actions;
     bool cutOff = seemsCutOff(input, settings);
-    // One that seems cut off lets its lease lapse, and takes a free one only when nobody else does.
+    // A node that seems disconnected lets its lease expire, and takes a free lease only after other nodes had time to
+    // do so.
     if (input.lease.proposalDue(cutOff ? input.now - settings.cutOffDelay : input.now))
         actions.emplace_back(input.lease.proposal());
     auto tenure = input.lease.held(input.now);
-    // Without a text nothing is known to be unwanted, and without a list nothing to be dead.
+    // Without a configuration no claim can be judged unwanted, and without a list no host can be judged dead.
     bool hasList
         = std::any_of(input.hosts.begin(), input.hosts.end(), [](const auto& entry) { return entry.second.listed; });
     if (!tenure || !input.config || !hasList)
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -11,7 +11,7 @@
 
 namespace Kumquatpick {
 
-// What the controller tells one host's engine to do under a claim.
+// An order of the controller to the engine of one host, given under a claim.
 struct HostOrder {
     enum class Kind : uint8_t {
         Load,
@@ -20,33 +20,39 @@
 
     Kind kind = Kind::Load;
     std::string host;
-    Offset claim = 0; // The fencing number.
+    Offset claim = 0; // Its offset is the fencing number of the order.
     std::string service;
     std::string replica;
     std::string model;
     std::string modelVersion;
     uint32_t rank = 0;
-    std::vector<std::string> peers; // All hosts of the replica, rank order.
+    std::vector<std::string> peers; // All hosts of the replica, in rank order.
     uint64_t weightsBytes = 0;
-    // The order must be on its way before this, or be dropped: the issuer's right to give it ends then.
+    // The order must be sent before this time or be dropped: the lease under which it is valid ends shortly after.
     MonotonicTime sendBefore {};
 };
 
-// To be carried out in order. Doing any of them twice, or after its answer was lost, does no harm.
+// Actions are executed in order. Each one is idempotent, so it may be repeated if its response was lost.
 using ControllerAction = std::variant<LeaseProposal, ClaimEndProposal, HostsFreedProposal, ClaimProposal, HostOrder>;
 
 struct ControllerSettings {
-    Milliseconds statusLifetime { 5'000 }; // An older answer is none: perhaps nobody asks that host any more.
-    Milliseconds silentGrace { 10'000 }; // A host that does not answer for this long costs its replica the claim.
-    Milliseconds goneGrace { 3'000 }; // Longer than lists of two nodes differ: gone from the list is then dead.
-    Milliseconds steadyFor { 2'000 }; // A host has to answer for this long before it is claimed.
-    Milliseconds drainQuiet { 5'000 }; // After a claim's end, until every node has stopped sending work to it.
-    Milliseconds longestRequest { 120'000 }; // What a host that can't be asked is given to finish.
-    Milliseconds orderFlight { 2'000 }; // The longest that an order may be on its way, its timeout included.
-    Milliseconds cutOffDelay { 10'000 }; // By which a node that most hosts do not answer leaves the lease to others.
-    uint32_t hostsLoadingAtOnce = 64; // What the weight store feeds at a useful rate.
-    uint32_t proposalsPerRound = 64; // The log takes several hundred a second from everybody.
-    double rollingShare = 0.1; // Of a service's replicas, those a version change may take down at once.
+    Milliseconds statusLifetime { 5'000 }; // Age from which a status is ignored: the host may no longer be probed.
+    Milliseconds silentGrace { 10'000 }; // A claim ends when one of its hosts has not answered for this long.
+    // Time after which a host that is missing from the list counts as dead. Longer than the lists of two nodes may
+    // differ.
+    Milliseconds goneGrace { 3'000 };
+    Milliseconds steadyFor { 2'000 }; // A host must have answered for this long before it can be claimed.
+    // Time after the end of a claim within which every node stops sending work to it.
+    Milliseconds drainQuiet { 5'000 };
+    // Time after the end of a claim for which requests on an unreachable host may still run.
+    Milliseconds longestRequest { 120'000 };
+    Milliseconds orderFlight { 2'000 }; // Upper bound for the delivery of an order, including its timeout.
+    // Delay before a node that most hosts do not answer proposes to take a free lease, so that other nodes can take it
+    // first.
+    Milliseconds cutOffDelay { 10'000 };
+    uint32_t hostsLoadingAtOnce = 64; // Limited by the throughput of the weight store.
+    uint32_t proposalsPerRound = 64; // The log accepts several hundred appends per second from all nodes together.
+    double rollingShare = 0.1; // Share of a service's replicas that a version change may take down at the same time.
 };
 
 struct ControllerInput {
@@ -55,15 +61,16 @@
     const std::map<std::string, HostView, std::less<>>& hosts;
     const std::map<Offset, MonotonicTime>& endedAt; // When this node read the end of each ending claim.
     const LeaseTracker& lease;
-    MonotonicTime watchingSince {}; // When this node first had the list and probes.
+    MonotonicTime watchingSince {}; // When this node first received the host list; it has no host data from before.
     MonotonicTime now {};
 };
 
-// The difference between the accepted text and what is there, as the next steps to take. A plain function: the
-// same input gives the same actions. Acts only while this node holds the lease. Called again once the proposals
-// of the round before were decided or given up on; earlier, it would only append some of them twice.
+// Returns the next steps from the current state of the deployment towards the accepted configuration. A pure function:
+// the same input gives the same actions. It returns actions on claims and hosts only while this node holds the lease.
+// It should be called again only after the proposals of the previous round were decided or abandoned; an earlier call
+// would append some of them twice.
 std::vector<ControllerAction> reconcile(const ControllerInput&, const ControllerSettings&, const PlacementRules&);
-// With a placer alone, nothing is ever moved.
+// Uses default rules with this placer, under which no replica is moved.
 std::vector<ControllerAction> reconcile(const ControllerInput&, const ControllerSettings&, const Placer&);
 
 } // namespace Kumquatpick
--- a/src/coordination/endedclaims.h
+++ b/src/coordination/endedclaims.h
@@ -6,13 +6,13 @@
 
 namespace Kumquatpick {
 
-// When this node read of the end of each claim that is still ending, by its own clock. Not thread-safe.
+// The time at which this node read the end of each claim that is still ending, by its monotonic clock. Not thread-safe.
 class EndedClaims {
 public:
     void folded(const LoggedRecord&, Verdict, MonotonicTime readAt);
-    // The state was restored from a snapshot: ends that were not seen count from now.
+    // Handles a state restored from a snapshot: the claims whose end was not read are counted from readAt.
     void restored(const State&, MonotonicTime readAt);
-    // Drops claims that the state has forgotten.
+    // Removes the claims that the state no longer has.
     void prune(const std::map<Offset, Claim>&);
 
     const std::map<Offset, MonotonicTime>& times() const { return m_times; }
--- a/src/coordination/figures.cpp
+++ b/src/coordination/figures.cpp
@@ -12,7 +12,8 @@
 namespace {
 
     constexpr uint32_t replicasPerDomain = 10;
-    constexpr uint32_t domains = 100; // That can go dark; the larger ones share names modulo this.
+    // Number of domain names; larger deployments reuse them, with more replicas in each domain.
+    constexpr uint32_t domains = 100;
 
     double secondsOf(const auto& work)
     {
@@ -21,7 +22,7 @@
         return toSeconds(monotonicNow() - started);
     }
 
-    // A settled deployment: its log, the state after it, and every host well.
+    // A deployment without changes to make: its log, the state after it, and host views of which all are healthy.
     class Deployment {
     public:
         explicit Deployment(const CoordinationSize&);
@@ -148,7 +149,7 @@
     });
     figures.recordsPerSecond = records / (decoding + folding);
     figures.foldsPerSecond = records / folding;
-    figures.claimRecordBytes = deployment.log()[2].size(); // After the text and the lease.
+    figures.claimRecordBytes = deployment.log()[2].size(); // The first two records are the configuration and the lease.
 
     SnapshotProposal snapshot { state.offset(), "bench", 0, 1, {} };
     figures.snapshotSeconds = secondsOf([&] { snapshot.state = state.snapshot(); });
--- a/src/coordination/figures.h
+++ b/src/coordination/figures.h
@@ -11,19 +11,19 @@
     uint32_t slots = 1024;
 };
 
-// What the agreed state costs at a size; times are of one thread, in seconds.
+// Measurements of the replicated state at a given size; times are for one thread, in seconds.
 struct CoordinationFigures {
-    double recordsPerSecond = 0; // Decoded and folded.
-    double foldsPerSecond = 0; // Folded only.
+    double recordsPerSecond = 0; // Rate of decoding and applying records.
+    double foldsPerSecond = 0; // Rate of applying decoded records.
     size_t claimRecordBytes = 0;
     size_t snapshotBytes = 0;
-    size_t snapshotRecords = 0; // The parts it travels in.
+    size_t snapshotRecords = 0; // Number of log records that the snapshot is split into.
     double snapshotSeconds = 0;
     double restoreSeconds = 0;
-    double copySeconds = 0; // Of the state, as a publishing scheme with copies would pay.
-    double reconcileSettledSeconds = 0; // One round with nothing to do.
-    double reconcileEmptySeconds = 0; // One round with every claim still to be made.
-    double reconcileDarkDomainSeconds = 0; // One round with the replicas of one domain in 100 gone.
+    double copySeconds = 0; // Time to copy the state, which a scheme that publishes copies would need.
+    double reconcileSettledSeconds = 0; // One round without changes to make.
+    double reconcileEmptySeconds = 0; // One round in which every claim has to be proposed.
+    double reconcileDarkDomainSeconds = 0; // One round in which all hosts of one domain in 100 have failed.
 };
 
 CoordinationFigures coordinationFigures(const CoordinationSize&);
--- a/src/coordination/hostregistry.cpp
+++ b/src/coordination/hostregistry.cpp
@@ -53,7 +53,7 @@
 void HostRegistry::answered(std::string_view host, const HostAnswer& answer, MonotonicTime askedAt, MonotonicTime now)
 {
     HostView& known = view(host, now);
-    // Probes may overtake each other.
+    // The answers to probes may arrive out of order.
     if (askedAt < known.statusAt)
         return;
     setAnswering(known, true, now);
--- a/src/coordination/hostregistry.h
+++ b/src/coordination/hostregistry.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// A backend host as the platform's list has it.
+// A backend host as it appears in the platform's list.
 struct HostEntry {
     std::string host;
     std::string zone;
@@ -19,7 +19,7 @@
     bool leaving = false;
 };
 
-// An engine's answer to a probe.
+// Status that an engine returns to a probe.
 struct HostAnswer {
     uint64_t incarnation = 0;
     bool leaving = false;
@@ -28,19 +28,20 @@
     uint32_t requests = 0;
 };
 
-// Puts the list, the probes and the orders sent together into views of the hosts, with the times since when
-// each of them holds. Not thread-safe.
+// Combines the platform's list, the probe results and the orders sent into one view per host, with the times of the
+// latest changes. Not thread-safe.
 class HostRegistry {
 public:
     void setListed(std::span<const HostEntry>, MonotonicTime now);
-    // askedAt: when the probe was sent; what happened to the host after that is not in the answer.
+    // askedAt is the time at which the probe was sent; later changes on the host are not in the answer.
     void answered(std::string_view host, const HostAnswer&, MonotonicTime askedAt, MonotonicTime now);
     void unanswered(std::string_view host, MonotonicTime now);
-    // Called before an order is sent, so that it is known even if the sender is stopped right after.
+    // Must be called before an order is sent, so that the order is on record even if the sender is interrupted right
+    // after sending.
     void sending(std::string_view host, Offset claim, MonotonicTime now);
 
     const std::map<std::string, HostView, std::less<>>& views() const { return m_views; }
-    // When the first list came; nothing can be said of hosts before.
+    // The time of the first list; there is no host data from before.
     MonotonicTime watchingSince() const { return m_watchingSince; }
 
 private:
--- a/src/coordination/hostview.h
+++ b/src/coordination/hostview.h
@@ -15,33 +15,33 @@
     Ready,
 };
 
-// The latest order that this node sent to a host, whether or not it was answered.
+// The latest order that this node sent to a host, answered or not.
 struct SentOrder {
     Offset claim = 0;
     MonotonicTime sentAt {};
 };
 
-// What a controller knows of one host: the platform's word and the engine's own. Hosts that left the list are
-// kept, as not listed, so that it is known for how long.
+// Data of the controller about one host, from the platform's list and from the engine's status. A host that was removed
+// from the list is kept as not listed, so that the time of the removal is known.
 struct HostView {
     std::string zone;
     std::string domain;
-    std::string service; // Set for hosts of a plain service, which are never claimed.
+    std::string service; // Set for hosts of a plain service; these are never claimed.
 
     bool listed = false;
     uint64_t listedIncarnation = 0;
-    MonotonicTime listedSince {}; // When `listed` or its incarnation last changed.
-    bool leaving = false; // By the list.
+    MonotonicTime listedSince {}; // When `listed` or `listedIncarnation` last changed.
+    bool leaving = false; // The platform's list marks the host as leaving.
 
-    // By the latest probe; the rest is of the latest answer.
+    // `answering` is the result of the latest probe; the fields below it are from the latest answer.
     bool answering = false;
     MonotonicTime answeringSince {}; // When `answering` last changed.
     uint64_t incarnation = 0;
     bool engineLeaving = false;
     EnginePhase phase = EnginePhase::Idle;
-    Offset claim = 0; // Of the order that the engine obeys.
-    uint32_t requests = 0; // Running and queued.
-    MonotonicTime statusAt {}; // When the answer was asked for.
+    Offset claim = 0; // The claim that the engine currently runs under.
+    uint32_t requests = 0; // Number of running and queued requests.
+    MonotonicTime statusAt {}; // When the probe that returned this status was sent.
 
     std::optional<SentOrder> lastOrder;
 
@@ -50,7 +50,7 @@
     {
         return answering && now - statusAt <= statusLifetime;
     }
-    // While it does not answer.
+    // Start of the current silence; meaningful only while answersNow() is false.
     MonotonicTime silentSince() const { return answering ? statusAt : answeringSince; }
 };
 
--- a/src/coordination/journal.h
+++ b/src/coordination/journal.h
@@ -13,24 +13,24 @@
 
 namespace Kumquatpick {
 
-// What one slot's owner or witness remembers of its keys. Entry nodes are kept once each, as the entries
-// are many and the nodes few.
+// The entries that the owner or witness of one slot keeps for its keys. Each node is stored once and entries refer to
+// it by index, as there are many entries and few nodes.
 class Journal {
 public:
     std::optional<JournalEntry> find(std::string_view key) const;
-    // Keeps the entry unless a later one of the key is here already: messages come late and doubled, and
-    // an entry only ever moves up in (voidedUpTo, grantedAttempt).
+    // Stores the entry unless a later one for the same key is stored already: messages may arrive late or twice, and
+    // the pair (voidedUpTo, grantedAttempt) of an entry only increases.
     void keep(const JournalEntry&);
     void replace(const JournalEntry&);
 
-    // Drops entries of keys issued before that time, and remembers that it did.
+    // Removes the entries of keys issued before this time, and advances forgottenBefore() to it.
     void forget(WallTime before);
-    // A key issued before this that has no entry may have had one.
+    // A key issued before this time may have had an entry that was removed.
     WallTime forgottenBefore() const { return m_forgottenBefore; }
 
     size_t size() const { return m_entries.size(); }
 
-    // The whole journal in parts of at most so many entries; at least one part.
+    // Splits the journal into parts of at most this many entries; returns at least one part.
     std::vector<CopyRequest> split(size_t entriesPerPart) const;
     void take(const CopyRequest& part);
 
@@ -52,7 +52,7 @@
     JournalEntry expand(const std::string& key, const Kept&) const;
 
     std::unordered_map<std::string, Kept, KeyHash, std::equal_to<>> m_entries;
-    std::vector<NodeInfo> m_nodes { NodeInfo {} }; // The first one stands for "never granted".
+    std::vector<NodeInfo> m_nodes { NodeInfo {} }; // The first element stands for "never granted".
     WallTime m_forgottenBefore {};
 };
 
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    // Renewing at a third leaves time for two more tries.
+    // Renewing after a third of the duration leaves time for two more attempts.
     constexpr int renewalsPerDuration = 3;
 
-    // Proposals that were given up on; more than a few mean that the log is down.
+    // Limit for the proposals that were sent and never read; a larger number means that the log is down.
     constexpr size_t mostSent = 64;
 
 }
@@ -55,8 +55,8 @@
         accept(*lease, std::nullopt, readAt);
 }
 
-// A renewal follows this node's own lease directly, so that nobody else can have held it in between, not even
-// if it lapsed meanwhile. An own lease whose sending this tracker did not see is of no use.
+// The record of a renewal directly follows this node's own lease, so no other node can have held the lease in between,
+// even if it expired before the renewal. An own lease whose send time is unknown to this tracker can't be used.
 void LeaseTracker::accept(const HeldLease& lease, std::optional<MonotonicTime> sentAt, MonotonicTime readAt)
 {
     bool own = lease.holder == m_self && sentAt.has_value();
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -8,31 +8,32 @@
 
 namespace Kumquatpick {
 
-// A stretch of time in which this node may act as the lease's holder.
+// A period in which this node may act as the holder of the lease.
 struct LeaseTenure {
-    MonotonicTime since {}; // Nobody else has held the lease after this.
+    MonotonicTime since {}; // No other node has held the lease after this time.
     MonotonicTime until {};
 };
 
-// One lease as this node sees it, by its own monotonic clock. The holder counts from before it sent its proposal
-// and stops a margin early; everyone else counts from when they read it and waits a margin longer. Whatever the
-// delays and pauses, the holder has stopped before another one starts, as long as clocks run at the same rate
-// to within the margins. Not thread-safe.
+// Tracks one lease by the monotonic clock of this node. The holder counts the duration from before it sent its proposal
+// and stops one margin early; other nodes count from when they read the proposal and wait one margin longer. Regardless
+// of delays and pauses, the former holder has stopped before the next one starts, as long as clock rates differ by no
+// more than the margins allow. Not thread-safe.
 class LeaseTracker {
 public:
     LeaseTracker(std::string lease, NodeId self, Milliseconds duration, Milliseconds margin);
 
-    // The proposal that takes or renews the lease.
+    // Returns the proposal that takes or renews the lease.
     LeaseProposal proposal() const;
-    // Called before a proposal with this record id is sent; only the first call for an id counts.
+    // Must be called before a proposal with this record id is sent; only the first call for an id has an effect.
     void sending(const std::string& id, MonotonicTime now);
     void folded(const LoggedRecord&, Verdict, MonotonicTime readAt);
-    // The state was restored from a snapshot; what was known is dropped where the state differs.
+    // Handles a state restored from a snapshot: a lease in the state that differs from the tracked one replaces it, and
+    // its duration is counted from readAt.
     void restored(const State&, MonotonicTime readAt);
 
-    // This node's tenure, if it holds the lease now.
+    // Returns the tenure of this node, if it holds the lease now.
     std::optional<LeaseTenure> held(MonotonicTime now) const;
-    // Whether proposing makes sense now: nobody holds the lease, or this node's own is due for renewal.
+    // True if nobody holds the lease, or the lease of this node is due for renewal.
     bool proposalDue(MonotonicTime now) const;
 
 private:
@@ -42,10 +43,11 @@
     NodeId m_self;
     Milliseconds m_duration;
     Milliseconds m_margin;
-    std::map<std::string, MonotonicTime> m_sent; // Own proposals not read back yet.
+    // Send times of this node's own proposals that it has not yet read from the log, by record id.
+    std::map<std::string, MonotonicTime> m_sent;
     std::optional<HeldLease> m_current;
     MonotonicTime m_readAt {};
-    std::optional<MonotonicTime> m_sentAt; // Of the current lease, if it is this node's own.
+    std::optional<MonotonicTime> m_sentAt; // Send time of the current lease's proposal, if this node is the holder.
     MonotonicTime m_since {};
 };
 
--- a/src/coordination/placer.h
+++ b/src/coordination/placer.h
@@ -11,7 +11,7 @@
 
 namespace Kumquatpick {
 
-// Hosts of one domain that a new replica may have: idle ones first, then by name.
+// Hosts of one fault domain that are available to a new replica: idle hosts first, then by name.
 struct FreeDomain {
     std::string zone;
     std::vector<std::string> hosts;
@@ -21,46 +21,47 @@
     const ServiceText& service;
     const OperatorsText& text;
     const std::map<Offset, Claim>& claims;
-    std::span<const ClaimProposal> proposed; // Earlier in the same round, not in claims yet.
+    std::span<const ClaimProposal> proposed; // Claims proposed earlier in the same round, not yet in `claims`.
     const std::map<std::string, FreeDomain>& freeDomains;
 };
 
-// Hosts for one replica, in rank order.
+// The hosts for one replica, in rank order.
 struct Placement {
     std::string domain;
     std::vector<std::string> hosts;
 };
 
-// Answers nothing if the service fits nowhere.
+// Returns no value if no domain has room for the service.
 using Placer = std::function<std::optional<Placement>(const PlacementQuestion&)>;
 
-// A service that is short of a replica, fits nowhere, and has no room coming either.
+// A service that lacks a replica for which no domain has room or will soon have room.
 struct MoveQuestion {
-    const PlacementQuestion& wanted; // Its free hosts are those that no other move or short service counts on.
-    std::span<const Claim* const> movable; // Replicas that serve and of which no move is running.
+    // Its free hosts exclude those reserved for other moves and for other services that lack replicas.
+    const PlacementQuestion& wanted;
+    std::span<const Claim* const> movable; // Replicas that are ready and are not being moved.
 };
 
-// A replica to build a second time in another domain; the old one ends once the new one serves.
+// A replica to be rebuilt in another domain; the old claim ends once the new replica is ready.
 struct ReplicaMove {
     Offset claim = 0;
     Placement to;
 };
 
-// Answers nothing if no move makes room for the service.
+// Returns no value if no move makes room for the service.
 using Mover = std::function<std::optional<ReplicaMove>(const MoveQuestion&)>;
 
-// What the controller leaves to policy.
+// Placement policy that the controller is configured with.
 struct PlacementRules {
     Placer place;
     Mover move = [](const MoveQuestion&) { return std::nullopt; };
-    // How many moves may run when one more for this service is begun.
+    // Upper limit for running moves when another one is begun for this service.
     std::function<size_t(const ServiceText&, bool recoveriesWait)> movesAtOnce
         = [](const ServiceText&, bool) { return 0; };
-    // Whether loads of moves wait while a replica of this service is down and loads.
+    // Whether the loads of moves wait while a replica of this service is down and recovering.
     std::function<bool(const ServiceText&)> recoveryLoadsFirst = [](const ServiceText&) { return true; };
 };
 
-// The baseline: the first domain with enough free hosts, its first hosts.
+// Default policy: takes the first hosts of the first domain that has enough free hosts.
 std::optional<Placement> placeFirstFit(const PlacementQuestion&);
 
 } // namespace Kumquatpick
--- a/src/coordination/record.cpp
+++ b/src/coordination/record.cpp
@@ -19,7 +19,7 @@
             if (value.get_ref<const std::string&>() == name(because))
                 return because;
         }
-        throw DecodeFailure("unknown reason for freeing");
+        throw DecodeFailure("unknown reason for freeing hosts");
     }
 
     json toJson(const SlotChange& change)
@@ -34,7 +34,7 @@
         SlotChange change;
         change.slot = wholeNumber<uint32_t>(value.at("slot"));
         if (change.slot >= slotCount)
-            throw DecodeFailure("no such slot");
+            throw DecodeFailure("slot number out of range");
         change.expectedEpoch = wholeNumber<uint32_t>(value.at("expected_epoch"));
         change.owner = nodeInfoFrom(value.at("owner"));
         change.witness = nodeInfoFrom(value.at("witness"));
@@ -124,7 +124,7 @@
             wholeNumber<uint32_t>(value.at("part")), wholeNumber<uint32_t>(value.at("parts")),
             value.at("state").get<std::string>() };
         if (snapshot.part >= snapshot.parts)
-            throw DecodeFailure("no such part");
+            throw DecodeFailure("snapshot part number out of range");
         return snapshot;
     }
 
@@ -145,14 +145,14 @@
             return slotsFrom(value);
         if (kind == "snapshot")
             return snapshotFrom(value);
-        throw DecodeFailure("unknown kind of record");
+        throw DecodeFailure("unknown record kind");
     }
 
     Record recordFrom(const json& value)
     {
         Record record { value.at("id").get<std::string>(), bodyFrom(value) };
         if (record.id.empty())
-            throw DecodeFailure("no id");
+            throw DecodeFailure("record id is empty");
         return record;
     }
 
--- a/src/coordination/snapshot.cpp
+++ b/src/coordination/snapshot.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr double holderShare = 0.25; // Of the retention.
+    constexpr double holderShare = 0.25; // Share of the retention period.
     constexpr double othersShare = 0.5;
     constexpr double othersSpread = 0.25;
 
@@ -22,7 +22,7 @@
     return proposals;
 }
 
-// Parts come in order; one out of order is a repeat, or its beginning has expired.
+// Parts arrive in order. A part out of order is a repetition, or the first parts of its series have expired.
 std::optional<SnapshotProposal> SnapshotAssembler::add(const SnapshotProposal& proposal)
 {
     if (proposal.part == 0 && !m_series.contains(proposal.series))
--- a/src/coordination/snapshot.h
+++ b/src/coordination/snapshot.h
@@ -12,34 +12,35 @@
 
 class State;
 
-// Well below the megabyte that log services commonly take.
+// Well below 1 MB, a common limit for one record of log services.
 constexpr size_t snapshotPartBytes = 256 * 1024;
 
-// The parts of a snapshot of the state, to be appended in this order.
+// Returns the parts of a snapshot of the state, to be appended in this order.
 std::vector<SnapshotProposal> snapshotParts(
     const State&, const std::string& series, size_t partBytes = snapshotPartBytes);
 
-// Puts parts together again.
+// Joins the parts of snapshots.
 class SnapshotAssembler {
 public:
-    // The whole snapshot once its last part is here, as one proposal.
+    // Returns the complete snapshot as one proposal once its last part was added.
     std::optional<SnapshotProposal> add(const SnapshotProposal&);
 
 private:
     std::map<std::string, std::vector<SnapshotProposal>> m_series;
 };
 
-// What decides whether this node appends the state anew. Records expire after the log's retention; the oldest
-// one that a fresh reader needs is the first after the newest snapshot's covers.
+// Input for the decision whether this node appends a new snapshot. Records expire after the retention period of the
+// log; a new reader needs the records from the first one after the `covers` offset of the newest snapshot.
 struct SnapshotDuty {
-    Milliseconds retention {}; // Of the log; its operators say.
-    Milliseconds oldestNeededAge {}; // Of the first record that no snapshot covers.
-    bool uncoveredExpired = false; // A record that no snapshot covers is gone: no fresh reader can start.
+    Milliseconds retention {}; // Retention period of the log, as configured by its operators.
+    Milliseconds oldestNeededAge {}; // Age of the first record that no snapshot covers.
+    bool uncoveredExpired = false; // A record that no snapshot covers has expired, so no new reader can start.
     bool holdsLease = false;
-    double spread = 0; // 0..1, of this node: keeps those without the lease from acting all at once.
+    double spread = 0; // Per-node value in 0..1; staggers the nodes that do not hold the lease.
 };
 
-// The lease holder acts at a quarter of the retention; the others only when it failed to, from a half on.
+// The lease holder takes a snapshot after a quarter of the retention period. The other nodes start at half of it, in
+// case the holder has failed.
 bool snapshotDue(const SnapshotDuty&);
 
 } // namespace Kumquatpick
--- a/src/coordination/state.cpp
+++ b/src/coordination/state.cpp
@@ -59,7 +59,8 @@
         proposal.incarnations = value.at(7).get<std::vector<uint64_t>>();
         proposal.model = value.at(8).get<std::string>();
         proposal.modelVersion = value.at(9).get<std::string>();
-        constexpr size_t replacesAt = 11; // Left out of most, and of older snapshots.
+        // The field is omitted if the claim replaces none, and missing from older snapshots.
+        constexpr size_t replacesAt = 11;
         if (value.size() > replacesAt)
             proposal.replaces = wholeNumber<Offset>(value.at(replacesAt));
         if (claim.phase == ClaimPhase::Held)
@@ -80,7 +81,7 @@
     {
         auto slot = wholeNumber<uint32_t>(value.at(0));
         if (slot >= slotCount)
-            throw DecodeFailure("no such slot");
+            throw DecodeFailure("slot number out of range");
         slots.restore(slot,
             { wholeNumber<uint32_t>(value.at(1)), nodeInfoFrom(value.at(2)), nodeInfoFrom(value.at(3)),
                 wallTimeFrom(value.at(4)), { value.at(5).get<std::string>(), wholeNumber<uint64_t>(value.at(6)) },
@@ -96,7 +97,7 @@
     {
         auto verdict = wholeNumber<uint8_t>(value);
         if (verdict > static_cast<uint8_t>(Verdict::Duplicate))
-            throw DecodeFailure("no such verdict");
+            throw DecodeFailure("verdict out of range");
         return static_cast<Verdict>(verdict);
     }
 
@@ -149,8 +150,9 @@
     return found == m_decided.end() ? std::nullopt : std::optional(found->second);
 }
 
-// The adopted text stands beside the folded one: the based-on check has to see what the log had accepted at each
-// offset, or a node that adopted ahead would judge the records in between differently from the others.
+// The adopted configuration is kept apart from the applied one: the basedOn check must use the configuration that the
+// log had accepted at each offset, or a node that adopted a newer one would decide the records in between differently
+// from the other nodes.
 bool State::adoptConfig(Offset version, std::string_view text)
 {
     Offset current = config() ? config()->version : 0;
@@ -163,7 +165,7 @@
     return true;
 }
 
-// Once the fold has passed the adopted version it has accepted that one itself, or a newer one.
+// Once the records up to the adopted version are applied, the applied configuration is that version or a newer one.
 void State::dropOvertakenAdoption()
 {
     if (m_adopted && m_config && m_config->version >= m_adopted->version)
@@ -192,8 +194,8 @@
     return Verdict::Accepted;
 }
 
-// A replica's name is taken by one claim at a time, so that two controllers that fill the same gap with
-// different hosts do not both get them.
+// Only one claim at a time can hold a replica name, so that two controllers that replace the same missing replica on
+// different hosts do not both succeed.
 bool State::replicaHeld(const ClaimProposal& proposal) const { return m_replicas.contains(replicaKey(proposal)); }
 
 Verdict State::applyBody(const ClaimProposal& proposal, Offset offset)
@@ -228,7 +230,8 @@
     return Verdict::Accepted;
 }
 
-// Names the claim and not only the hosts: a late word about an older claim must not free a newer one's hosts.
+// The proposal names the claim in addition to the hosts, so that a delayed record about an older claim can't free the
+// hosts of a newer one.
 Verdict State::applyBody(const HostsFreedProposal& proposal, Offset)
 {
     auto found = m_claims.find(proposal.claim);
@@ -260,8 +263,8 @@
     return m_slots.apply(proposal).empty() ? Verdict::Outdated : Verdict::Accepted;
 }
 
-// For a reader that got here the snapshot says nothing new, so a stale one can't undo anything. The last part
-// is appended only after the others, so its presence means a whole snapshot.
+// A snapshot has no new data for a reader that has reached its offset, so an outdated one can't revert anything. The
+// last part is appended only after all others, so its presence implies a complete snapshot.
 Verdict State::applyBody(const SnapshotProposal& proposal, Offset offset)
 {
     if (proposal.covers >= offset)
@@ -271,7 +274,7 @@
     return Verdict::Accepted;
 }
 
-// MessagePack in base64: a JSON text inside a JSON record inside a JSON answer would be escaped twice over.
+// Encoded as MessagePack in base64: a JSON text inside a JSON record inside a JSON response would be escaped twice.
 std::string State::snapshot() const
 {
     json claims = json::array();
@@ -302,7 +305,7 @@
 {
     auto bytes = base64Decode(encoded);
     if (!bytes)
-        throw DecodeFailure("not base64");
+        throw DecodeFailure("snapshot is not valid base64");
     json whole = json::from_msgpack(*bytes);
     if (whole.at("format") != snapshotFormat)
         throw DecodeFailure("unknown snapshot format");
@@ -323,7 +326,7 @@
     m_config
         = parseAccepted(wholeNumber<Offset>(config.at("version")), config.at("text").get_ref<const std::string&>());
     if (!m_config)
-        throw DecodeFailure("unreadable operators' text");
+        throw DecodeFailure("snapshot has an operators' configuration that can't be parsed");
 }
 
 Result<State> State::restore(const SnapshotProposal& proposal)
@@ -335,7 +338,8 @@
         return fail({ ErrorCode::Malformed, Step::LogRead, {}, failure.what() });
     }
     if (state.m_offset != proposal.covers)
-        return fail({ ErrorCode::Malformed, Step::LogRead, {}, "the snapshot is of another offset than it says" });
+        return fail(
+            { ErrorCode::Malformed, Step::LogRead, {}, "snapshot state has another offset than the record states" });
     return state;
 }
 
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -16,21 +16,21 @@
 namespace Kumquatpick {
 
 struct AcceptedConfig {
-    Offset version = 0; // The offset of its record.
+    Offset version = 0; // The offset of its record in the log.
     OperatorsText parsed;
     std::string text;
 };
 
 enum class ClaimPhase : uint8_t {
-    Held, // All hosts are the replica's.
-    Ending, // Gets no new work; what runs there may finish; some hosts are not free yet.
+    Held, // The replica holds all its hosts.
+    Ending, // The replica gets no new requests but may finish running ones; some hosts are not freed yet.
 };
 
 struct Claim {
     Offset offset = 0;
     ClaimPhase phase = ClaimPhase::Held;
     ClaimProposal proposal;
-    std::set<std::string, std::less<>> hostsHeld; // Those not freed yet.
+    std::set<std::string, std::less<>> hostsHeld; // The hosts that are not freed yet.
 };
 
 struct HeldLease {
@@ -39,54 +39,57 @@
     Milliseconds duration {};
 };
 
-// What became of one proposal, for the proposer that waits for it.
+// Outcome of a proposal, as returned to the proposer.
 enum class Verdict : uint8_t {
     Accepted,
-    Outdated, // Another proposal came first.
-    Invalid, // It could never have been accepted (an unreadable text, say).
+    Outdated, // Another proposal was applied first.
+    // The proposal could not have been accepted in any state, for example because its configuration can't be parsed.
+    Invalid,
     Duplicate,
 };
 
 std::string_view name(Verdict);
 
 struct DecidedRecord {
-    Offset offset = 0; // Of the first record with its id.
+    Offset offset = 0; // Offset of the first record with this id.
     Verdict verdict = Verdict::Accepted;
 };
 
-// Ids of this many latest records are remembered. It has to outlast the retries of one proposer: at 500 appends
-// a second these are 16 s. A duplicate later than that meets the checks of its own kind, of which only a claim's
-// could pass again; its hosts are then free, so it wastes a claim but breaks nothing.
+// Number of latest record ids that are kept to detect duplicates. They must cover the retries of one proposer: at 500
+// appends per second they cover 16 s. A later duplicate is still subject to the checks of its record kind. Only a claim
+// could pass them again, and only if its hosts are free, which wastes a claim but breaks nothing.
 constexpr size_t rememberedIds = 8192;
 
-// The agreed state: a deterministic fold of the log, the same at the same offset on every node.
+// The replicated state: the result of applying the log in order, which is deterministic and the same at the same offset
+// on every node.
 class State {
 public:
-    // Records come in offset order. One that was folded before is a Duplicate, one after a hole is Invalid;
-    // neither changes anything.
+    // Applies the next record in offset order. A record that was applied before is a Duplicate, and a record after a
+    // gap is Invalid; neither changes the state.
     Verdict apply(const LoggedRecord&);
-    // A record that can't be read takes up its offset and does nothing else.
+    // Advances past a record that can't be decoded, without any other effect.
     void skip(Offset);
 
     Offset offset() const { return m_offset; }
-    // The accepted text, adopted ones included; nullptr if there is none.
+    // Returns the accepted configuration, including an adopted one; nullptr if there is none.
     const AcceptedConfig* config() const;
     const std::map<Offset, Claim>& claims() const { return m_claims; }
-    // The claim that holds a host, or nullptr.
+    // Returns the claim that holds the host, or nullptr.
     const Claim* holder(std::string_view host) const;
     const HeldLease* lease(std::string_view name) const;
     const SlotTable& slots() const { return m_slots; }
-    // What became of the record with this id; nothing if it was not folded, or too long ago.
+    // Returns the outcome of the record with this id, or no value if it was not applied or is no longer remembered.
     std::optional<DecidedRecord> decided(const std::string& id) const;
-    // The newest offset that a whole snapshot in the log covers.
+    // The newest offset that a complete snapshot in the log covers.
     Offset snapshotCovers() const { return m_snapshotCovers; }
 
-    // Takes an accepted text from a peer while the log is down; ignored if older than what is here.
-    // It goes ahead of the fold: records up to its version still fold normally afterwards.
+    // Adopts an accepted configuration from a peer while the log is down; ignored if it is not newer than the current
+    // one. The adopted configuration is ahead of the applied records: records up to its version are still applied
+    // normally afterwards.
     bool adoptConfig(Offset version, std::string_view text);
 
     std::string snapshot() const;
-    // From all parts joined into one. Fails with Malformed.
+    // Restores a state from a complete snapshot. Fails with Malformed.
     static Result<State> restore(const SnapshotProposal&);
 
 private:
@@ -105,15 +108,16 @@
     void readSnapshot(std::string_view encoded);
 
     Offset m_offset = 0;
-    std::shared_ptr<const AcceptedConfig> m_config; // As folded.
-    std::shared_ptr<const AcceptedConfig> m_adopted; // From a peer, ahead of the fold. No part of the agreed state.
+    std::shared_ptr<const AcceptedConfig> m_config; // From the applied records.
+    // Adopted from a peer, ahead of the applied records; not part of the replicated state.
+    std::shared_ptr<const AcceptedConfig> m_adopted;
     std::map<Offset, Claim> m_claims;
-    std::unordered_map<std::string, Offset> m_holders; // Host to the claim that holds it.
-    std::unordered_map<std::string, Offset> m_replicas; // "service/replica" to its Held claim.
+    std::unordered_map<std::string, Offset> m_holders; // Maps each host to the claim that holds it.
+    std::unordered_map<std::string, Offset> m_replicas; // Maps "service/replica" to its Held claim.
     std::map<std::string, HeldLease, std::less<>> m_leases;
     SlotTable m_slots;
     std::unordered_map<std::string, DecidedRecord> m_decided;
-    std::deque<std::string> m_decidedOrder; // The ids, oldest first.
+    std::deque<std::string> m_decidedOrder; // The remembered ids, oldest first.
     Offset m_snapshotCovers = 0;
 };
 
--- a/tests/coordination/controller_test.cpp
+++ b/tests/coordination/controller_test.cpp
@@ -29,7 +29,7 @@
     struct FaultAt {
         Fault fault;
         uint8_t target;
-        uint8_t steps; // Until the next fault.
+        uint8_t steps; // Number of steps before the next fault.
     };
 
     std::ostream& operator<<(std::ostream& out, const FaultAt& fault)
@@ -114,7 +114,7 @@
             controller.listLag = {};
     }
 
-    // Runs the faults and then a quiet time; says what went wrong.
+    // Injects the faults, then runs without faults until the deployment should be stable. Returns the problems found.
     std::vector<std::string> runFaults(ControllerWorld& world, const std::vector<FaultAt>& faults)
     {
         for (const FaultAt& fault : faults) {
@@ -133,12 +133,13 @@
         auto problems = world.violations;
         for (size_t i = settledAt; i < world.log.size(); ++i) {
             if (!std::holds_alternative<LeaseProposal>(world.log[i].record.body))
-                problems.emplace_back("replicas are still moved about");
+                problems.emplace_back("records are still appended after the deployment should be stable");
         }
         for (const ServiceText& service : world.text().services) {
             size_t ready = world.readyReplicas(service);
             if (ready != service.replicas)
-                problems.push_back(fmt::format("{}: {} of {} replicas", service.name, ready, service.replicas));
+                problems.push_back(
+                    fmt::format("{}: {} of {} replicas are ready", service.name, ready, service.replicas));
         }
         return problems;
     }
@@ -154,7 +155,8 @@
         return { modelService("writers", 2, fencing), modelService("desk", 1, fencing) };
     }
 
-    // A replica of four fits only where the small ones keep to one domain, so that faults leave it to a move.
+    // A replica of four hosts fits only if the small replicas share one domain. Faults can lead to a state in which
+    // only a move makes room for it.
     std::vector<ServiceText> tightServices(FencingSupport fencing)
     {
         ServiceText large = modelService("writers", 1, fencing);
@@ -227,14 +229,14 @@
         EXPECT_EQ(scene.orders(), Lines { "load a" });
         EXPECT_EQ(scene.all<HostOrder>().front().sendBefore, scene.now + 60s - 1s - scene.settings.orderFlight);
         host.statusAt = scene.now - 1s;
-        EXPECT_EQ(scene.orders(), Lines {}) << "answered before this node's tenure";
+        EXPECT_EQ(scene.orders(), Lines {}) << "status from before this node's tenure";
         host.statusAt = scene.now;
         host.lastOrder = SentOrder { claim - 1, scene.now - 1s };
-        EXPECT_EQ(scene.orders(), Lines {}) << "an own order of another claim may still arrive";
+        EXPECT_EQ(scene.orders(), Lines {}) << "an order of this node for another claim may still arrive";
         host.lastOrder = SentOrder { claim, scene.now - 1s };
-        EXPECT_EQ(scene.orders(), Lines { "load a" }) << "a repeat";
+        EXPECT_EQ(scene.orders(), Lines { "load a" }) << "orders of the same claim may be repeated";
         scene.pass(58s);
-        EXPECT_EQ(scene.orders(), Lines {}) << "it could arrive after the lease";
+        EXPECT_EQ(scene.orders(), Lines {}) << "the order could arrive after the lease ended";
     }
 
     TEST(Controller, AnEngineThatIgnoresFencingIsEmptiedBeforeItLoads)
@@ -247,7 +249,7 @@
         scene.service().fencing = FencingSupport::Checked;
         EXPECT_EQ(scene.orders(), Lines { "load a" });
         scene.hosts["a"].claim = claim + 1;
-        EXPECT_EQ(scene.orders(), Lines {}) << "this node's state is behind";
+        EXPECT_EQ(scene.orders(), Lines {}) << "this node has not yet read the newer claim";
     }
 
     TEST(Controller, HostsAreUnloadedWhenDrainedAndFreedWhenTheySaySo)
@@ -270,7 +272,7 @@
         EXPECT_EQ(freed.front().hosts, Lines { "b" });
         scene.service().fencing = FencingSupport::Ignored;
         scene.hosts["b"].lastOrder = SentOrder { claim, scene.now - 1s };
-        EXPECT_TRUE(scene.all<HostsFreedProposal>().empty()) << "its load may still arrive";
+        EXPECT_TRUE(scene.all<HostsFreedProposal>().empty()) << "a load order of the claim may still arrive";
     }
 
     TEST(Controller, AHostNobodyCanAskIsGivenTheTimeOfARequest)
@@ -299,13 +301,13 @@
         EXPECT_EQ(endReason(scene), "");
         host.answering = false;
         host.answeringSince = scene.now - 1s;
-        EXPECT_EQ(endReason(scene), "") << "a few missed probes";
+        EXPECT_EQ(endReason(scene), "") << "the host missed only a few probes";
         host.answeringSince = scene.now - scene.settings.silentGrace;
         EXPECT_EQ(endReason(scene), "host_missing");
         host.answeringSince = scene.now - 1s;
         host.listed = false;
         host.listedSince = scene.now - 1s;
-        EXPECT_EQ(endReason(scene), "") << "lists of two nodes differ for a while";
+        EXPECT_EQ(endReason(scene), "") << "the lists of two nodes may differ for a while";
         host.listedSince = scene.now - scene.settings.goneGrace;
         EXPECT_EQ(endReason(scene), "host_dead");
         host = well;
@@ -330,13 +332,13 @@
             host.answeringSince = scene.now - 1h;
         }
         scene.pass(25s);
-        EXPECT_TRUE(scene.actions().empty()) << "neither ends claims nor renews its lease";
+        EXPECT_TRUE(scene.actions().empty()) << "it neither ends claims nor renews its lease";
         scene.hosts["b"].answering = true;
         scene.pass(0s);
         EXPECT_EQ(endReason(scene), "host_missing");
         EXPECT_EQ(scene.all<LeaseProposal>().size(), 1u);
         scene.hosts.clear();
-        EXPECT_TRUE(scene.actions().empty()) << "a node without a list calls nobody dead";
+        EXPECT_TRUE(scene.actions().empty()) << "a node without a list does not judge any host dead";
     }
 
     TEST(Controller, AHostThatWasNeverAskedIsNotLongSilent)
@@ -365,7 +367,7 @@
         scene.claim("r0", { "a", "b" });
         scene.claim("r1", { "c", "d" });
         HostView& host = scene.hosts["a"];
-        host.listed = false; // And so nobody asks it.
+        host.listed = false; // A host that is not listed is not probed any more.
         host.statusAt = scene.now - scene.settings.statusLifetime;
         EXPECT_EQ(endReason(scene), "");
         host.statusAt -= 1ms;
@@ -385,9 +387,9 @@
         ASSERT_EQ(scene.all<ClaimProposal>().size(), 1u);
         EXPECT_EQ(scene.all<ClaimProposal>().front().hosts, (Lines { "a", "b" }));
         scene.host("b").incarnation = 2;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the list does not know this life yet";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the list does not have this incarnation yet";
         scene.host("b").answeringSince = scene.now;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "it may be flapping";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the host has not answered for long enough";
         scene.host("b").answeringSince = {};
         for (Placement bad : { Placement { "d1", { "a", "a" } }, Placement { "d1", { "a", "c" } },
                  Placement { "d1", { "a" } }, Placement { "d9", { "a", "b" } } }) {
@@ -403,15 +405,15 @@
         scene.service().modelVersion = "2";
         scene.claim("r0", { "a", "b" });
         scene.claim("r1", { "c", "d" });
-        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u) << "no free host: one makes room";
+        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u) << "without free hosts one outdated replica has to end";
         scene.host("e");
         scene.host("f");
         EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
         scene.claim("r2", { "e", "f" }, "2");
         scene.hosts["e"].phase = EnginePhase::Loading;
-        EXPECT_TRUE(scene.all<ClaimEndProposal>().empty()) << "the successor is not ready";
+        EXPECT_TRUE(scene.all<ClaimEndProposal>().empty()) << "the new replica is not ready";
         scene.hosts["e"].phase = EnginePhase::Ready;
-        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u) << "one of the two old ones is surplus";
+        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u) << "one of the two outdated replicas is surplus";
     }
 
     TEST(Controller, LoadsArePacedAndDependenciesGoFirst)
@@ -426,10 +428,10 @@
         scene.settings.hostsLoadingAtOnce = 3;
         EXPECT_EQ(scene.orders(), (Lines { "load a", "load b" }));
         scene.hosts["e"].phase = EnginePhase::Loading;
-        EXPECT_EQ(scene.orders(), (Lines { "load a", "load b", "load f" })) << "what is started is finished";
+        EXPECT_EQ(scene.orders(), (Lines { "load a", "load b", "load f" })) << "a load that has started is completed";
         scene.hosts["a"].answering = false;
         scene.hosts["a"].answeringSince = scene.now;
-        EXPECT_EQ(scene.orders(), (Lines { "load c", "load d", "load f" })) << "r0 is not whole";
+        EXPECT_EQ(scene.orders(), (Lines { "load c", "load d", "load f" })) << "a host of r0 does not answer";
 
         Scene two;
         two.host("a");
--- a/tests/coordination/controllermove_test.cpp
+++ b/tests/coordination/controllermove_test.cpp
@@ -8,7 +8,7 @@
 
     using namespace Testing;
 
-    // Nine hosts, four of them in d1: a replica of four fits only if the small ones keep to one domain.
+    // Nine hosts, four of them in d1: a replica of four hosts fits only if the small replicas share one domain.
     ControllerWorld tightWorld(uint64_t seed)
     {
         ServiceText large = modelService("writers", 0, FencingSupport::Checked);
@@ -28,7 +28,7 @@
     TEST(ControllerMoves, ALargeReplicaThatFitsNowhereIsPlacedOnceASmallOneHasMoved)
     {
         ControllerWorld world = tightWorld(1);
-        // One small replica in each domain: two free hosts in d1, three in d2.
+        // One small replica in each domain, which leaves two free hosts in d1 and three in d2.
         world.engines.at("h2").alive = world.engines.at("h3").alive = false;
         run(world, 20);
         world.engines.at("h2").alive = world.engines.at("h3").alive = true;
@@ -40,7 +40,7 @@
         EXPECT_EQ(world.violations, Lines {});
     }
 
-    // A small replica in d1 that serves, two free hosts beside it, two in d2; a replica of four is wanted.
+    // A ready replica of two hosts in d1, two free hosts in d1 and two in d2; a replica of four hosts is missing.
     struct MoveScene : Scene {
         MoveScene()
         {
@@ -54,7 +54,7 @@
                 host(name, "d2");
         }
 
-        // Folds the move that is proposed; its hosts do nothing yet.
+        // Applies the proposed move; its hosts stay idle.
         Offset begin()
         {
             auto claims = all<ClaimProposal>();
@@ -76,7 +76,7 @@
             hosts[name].answeringSince = hosts[name].listedSince = now - 1h;
         }
 
-        // "r0 moved", ...
+        // The proposed ends as text, such as "r0 moved".
         Lines ends()
         {
             Lines lines;
@@ -99,13 +99,13 @@
         EXPECT_EQ(claims.front().hosts, (Lines { "e", "f" }));
         Offset successor = scene.begin();
         EXPECT_EQ(scene.orders(), (Lines { "load e", "load f" }));
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the room is coming";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the running move makes enough room";
         scene.obey(successor, EnginePhase::Loading);
-        EXPECT_EQ(scene.ends(), Lines {}) << "neither is surplus";
+        EXPECT_EQ(scene.ends(), Lines {}) << "neither of the two claims is surplus";
         scene.obey(successor, EnginePhase::Ready);
         EXPECT_EQ(scene.ends(), Lines { "r0 moved" });
         scene.end(scene.old);
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "its hosts drain";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "its hosts are still draining";
         EXPECT_EQ(scene.ends(), Lines {});
         scene.hosts["a"].phase = scene.hosts["b"].phase = EnginePhase::Idle;
         scene.fold("freed", HostsFreedProposal { scene.old, { "a", "b" }, FreedBecause::EngineConfirmed });
@@ -124,13 +124,13 @@
         EXPECT_EQ(scene.ends(), Lines { fmt::format("m{} host_dead", scene.old) });
         scene.end(successor);
         EXPECT_EQ(scene.ends(), Lines {});
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "no domain has two hosts to move to";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "no domain has two free hosts to move to";
         other.kill("a");
         EXPECT_EQ(other.ends(), Lines { "r0 host_dead" });
         other.fold("end", ClaimEndProposal { other.old, "host_dead" });
         EXPECT_EQ(other.ends(), Lines {});
         EXPECT_EQ(other.orders(), (Lines { "load e", "load f" }));
-        EXPECT_TRUE(other.all<ClaimProposal>().empty()) << "the successor is not missing";
+        EXPECT_TRUE(other.all<ClaimProposal>().empty()) << "the successor counts as the replica";
     }
 
     TEST(ControllerMoves, AnyControllerRecognisesAMoveFromASnapshot)
@@ -167,7 +167,7 @@
         scene.large().replicas = 0;
         EXPECT_EQ(scene.ends(), Lines { successor + " move_outdated" });
         scene.service().modelVersion = "1";
-        EXPECT_EQ(scene.ends(), Lines {}) << "begun, it is carried to its end";
+        EXPECT_EQ(scene.ends(), Lines {}) << "a move that has begun is completed";
         scene.service().replicas = 0;
         EXPECT_EQ(scene.ends(), (Lines { "r0 scale_down", successor + " scale_down" }));
     }
@@ -192,19 +192,19 @@
     {
         MoveScene scene;
         scene.rules.movesAtOnce = [](const ServiceText&, bool) { return 0; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "beyond the bound";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the limit for running moves is reached";
         scene.rules = movingRules();
         scene.large().replicas = 0;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "nothing is short";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "no service lacks a replica";
         scene.large().replicas = 1;
         scene.host("g").answeringSince = scene.host("h").answeringSince = scene.now;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "two more hosts are just coming back";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "two more hosts have returned recently";
         scene.hosts.erase("g");
         EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
         scene.hosts["a"].phase = EnginePhase::Loading;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the old one does not serve itself";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the old replica is not ready itself";
         scene.rules.move = [&](const MoveQuestion&) { return ReplicaMove { scene.old, { "d2", { "e", "f" } } }; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "whatever the mover says";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the choice of the mover does not override this";
         scene.hosts["a"].phase = EnginePhase::Ready;
         EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
         for (ReplicaMove bad :
@@ -243,11 +243,11 @@
         for (const char* name : { "s", "t", "u", "v" })
             other.host(name, "d4");
         EXPECT_EQ(other.ends(), Lines { "r0 version_change" });
-        EXPECT_TRUE(other.all<ClaimProposal>().empty()) << "its own hosts are the room";
+        EXPECT_TRUE(other.all<ClaimProposal>().empty()) << "the hosts of the outdated claim will be free";
     }
 
-    // Here even a placer that finds no place leads to no move between equals, nor to one from a domain that stays
-    // too small.
+    // No move is made for a replica of the same size, nor from a domain that stays too small, even if the placer finds
+    // no place and the mover proposes one.
     TEST(ControllerMoves, OnlyASmallerReplicaMovesAndOnlyWhereThatIsEnough)
     {
         MoveScene scene;
@@ -283,14 +283,15 @@
             "claim", ClaimProposal { "writers", "r1", "howrah", "d3", { "g", "h" }, { 1, 1 }, "kumquat", "1" });
         scene.obey(other, EnginePhase::Ready);
         scene.end(scene.old);
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "d1 will have four";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "d1 will have four free hosts";
         scene.kill("a");
         auto claims = scene.all<ClaimProposal>();
         ASSERT_EQ(claims.size(), 1u);
         EXPECT_EQ(claims.front().replaces, other);
     }
 
-    // Both replicas of four are short: one has its room coming in d1, and a move for the other may not take of it.
+    // Two replicas of four hosts are missing. Room for one is about to become free in d1, and a move for the other one
+    // must not use it.
     TEST(ControllerMoves, RoomThatIsComingForOneReplicaIsNotTakenForAnother)
     {
         MoveScene scene;
@@ -307,7 +308,7 @@
         Placement to { "d1", { "c", "d" } };
         scene.rules.move = [&](const MoveQuestion& question) {
             EXPECT_EQ(question.wanted.freeDomains.at("d1").hosts, Lines {});
-            EXPECT_EQ(question.movable.size(), 1u) << "of the first one a move is running";
+            EXPECT_EQ(question.movable.size(), 1u) << "the first replica is being moved already";
             return ReplicaMove { other, to };
         };
         EXPECT_TRUE(scene.all<ClaimProposal>().empty());
@@ -315,7 +316,7 @@
         ASSERT_EQ(scene.all<ClaimProposal>().size(), 1u);
         EXPECT_EQ(scene.all<ClaimProposal>().front().replaces, other);
         scene.rules.movesAtOnce = [](const ServiceText&, bool) { return 1; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "one runs";
+        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "one move is running already";
     }
 
 }
--- a/tests/coordination/controllerworld.h
+++ b/tests/coordination/controllerworld.h
@@ -17,9 +17,9 @@
 using namespace std::chrono_literals;
 
 constexpr Milliseconds worldStep { 500 };
-constexpr int worldHosts = 7; // One more than the services need, so that hosts are soon claimed again.
+constexpr int worldHosts = 7; // One more than the services need, so that released hosts are claimed again soon.
 
-// Short, so that hosts change hands while former holders of the lease still pause.
+// Short limits, so that hosts are reassigned while former holders of the lease are still paused.
 inline ControllerSettings worldSettings()
 {
     ControllerSettings settings;
@@ -43,8 +43,8 @@
     return service;
 }
 
-// Moves the first replica that makes room onto the first domain that has the hosts. No policy, so that the
-// controller's own guards are what is tested.
+// Moves the first replica that makes room to the first domain with enough hosts. It applies no policy, so that the
+// checks of the controller itself are tested.
 inline std::optional<ReplicaMove> moveFirstFit(const MoveQuestion& question)
 {
     const auto& domains = question.wanted.freeDomains;
@@ -73,7 +73,7 @@
     return rules;
 }
 
-// An engine that obeys orders, with or without looking at their fencing number.
+// An engine that carries out orders, with or without checking their fencing number.
 struct FakeEngine {
     std::string domain;
     bool checksFencing = true;
@@ -82,7 +82,7 @@
     uint64_t incarnation = 1;
     EnginePhase phase = EnginePhase::Idle;
     Offset claim = 0;
-    Offset highest = 0; // Newest claim it ever obeyed in this life.
+    Offset highest = 0; // The newest claim of all orders in this incarnation.
     int stepsToLoad = 0;
     uint32_t requests = 0;
 };
@@ -92,7 +92,7 @@
     HostOrder order;
 };
 
-// One controller process with its own view of everything.
+// One controller process with its own state and host data.
 struct FakeController {
     FakeController(const std::string& name, uint64_t incarnation)
         : id { name, incarnation }
@@ -101,20 +101,20 @@
     }
 
     NodeId id;
-    OperatorsText text; // As this one has read it so far.
+    OperatorsText text; // The configuration that this controller has read so far.
 
     State state;
     LeaseTracker lease;
     HostRegistry hosts;
     EndedClaims ended;
     MonotonicTime pausedUntil {};
-    MonotonicTime cutOffUntil {}; // From the hosts named.
-    std::string cutOffFrom; // Empty: all of them.
+    MonotonicTime cutOffUntil {}; // Applies to the hosts that cutOffFrom selects.
+    std::string cutOffFrom; // Host that does not answer this controller; empty for all hosts.
     Milliseconds listLag {};
-    std::vector<ControllerAction> pending; // Decided, not carried out when the pause came.
+    std::vector<ControllerAction> pending; // Actions that were decided on and not executed when the pause began.
 };
 
-// Log, hosts, list and controllers in one place, stepped by a seeded generator.
+// Simulates the log, the hosts, the platform's list and the controllers in steps, with a seeded random generator.
 class ControllerWorld {
 public:
     ControllerWorld(uint64_t seed, std::vector<ServiceText> services, int hosts = worldHosts)
@@ -130,7 +130,7 @@
     void step()
     {
         now += worldStep;
-        deliverOrders(); // First, so that none is on its way for longer than it may be.
+        deliverOrders(); // Done first, so that no order takes longer than orderFlight.
         publishList();
         for (FakeController& controller : controllers) {
             if (now >= controller.pausedUntil)
@@ -150,7 +150,7 @@
         log.push_back(std::move(logged));
     }
 
-    // Another process at the same place, which starts from a snapshot of some earlier offset.
+    // Replaces the controller process by a new one that starts from a snapshot at an earlier offset.
     void restart(FakeController& controller)
     {
         State past;
@@ -195,7 +195,7 @@
     std::map<std::string, FakeEngine> engines;
     std::deque<FakeController> controllers;
     std::vector<std::string> violations;
-    bool lossy = true; // Appends and orders get lost or come late.
+    bool lossy = true; // Appends and orders may be lost, delayed or duplicated.
     ControllerSettings settings = worldSettings();
     PlacementRules rules = movingRules();
 
@@ -275,16 +275,17 @@
         }
     }
 
-    // Independent of the code under test: a load goes out only with every host of the claim there.
+    // Checks without the code under test: a claim names distinct hosts of one domain, and a load order is sent only
+    // while every host of the claim answers and is not leaving.
     void checkLoad(const FakeController& controller, const ControllerAction& action)
     {
         if (auto* claim = std::get_if<ClaimProposal>(&action)) {
             std::set<std::string> distinct(claim->hosts.begin(), claim->hosts.end());
             if (distinct.size() != claim->hosts.size())
-                violations.emplace_back("a claim names a host twice");
+                violations.emplace_back("claim names a host twice");
             for (const std::string& host : claim->hosts) {
                 if (engines.at(host).domain != claim->domain)
-                    violations.emplace_back("a claim spans domains");
+                    violations.emplace_back("claim spans several domains");
             }
         }
         if (auto* end = std::get_if<ClaimEndProposal>(&action); end && end->reason == "moved")
@@ -295,11 +296,11 @@
         for (const std::string& peer : order->peers) {
             const HostView& view = controller.hosts.views().at(peer);
             if (!view.answering || view.isLeaving())
-                violations.push_back("loaded without " + peer);
+                violations.push_back("load ordered without host " + peer);
         }
     }
 
-    // The old replica of a move ends only with its successor seen ready.
+    // Checks that the old claim of a move ends only after this controller saw the successor ready.
     void checkMoved(const FakeController& controller, Offset old)
     {
         for (const auto& [offset, claim] : controller.state.claims()) {
@@ -313,7 +314,7 @@
             if (ready)
                 return;
         }
-        violations.push_back(fmt::format("claim {} ended as moved without a successor", old));
+        violations.push_back(fmt::format("claim {} ended with reason \"moved\" before its successor was ready", old));
     }
 
     void act(FakeController& controller, ControllerAction& action)
@@ -329,7 +330,7 @@
         }
         if (lossy && draw(10) == 0)
             return;
-        bool twice = lossy && draw(10) == 0; // The answer was lost, and it asked again.
+        bool twice = lossy && draw(10) == 0; // The response was lost and the controller retried.
         for (int i = 0; i < (twice ? 2 : 1); ++i) {
             if (std::holds_alternative<LeaseProposal>(action))
                 controller.lease.sending(fmt::format("id{}", truth.offset() + 1), now);
@@ -361,13 +362,13 @@
         if (order.claim < engine.highest) {
             if (!engine.checksFencing)
                 violations.push_back(fmt::format(
-                    "{} obeyed an order of claim {} after one of {}", order.host, order.claim, engine.highest));
+                    "{} got an order of claim {} after one of claim {}", order.host, order.claim, engine.highest));
             return;
         }
         engine.highest = order.claim;
         if (order.kind == HostOrder::Kind::Unload) {
             if (engine.requests > 0 && engine.claim == order.claim && !memberDead(order))
-                violations.push_back(fmt::format("{} was unloaded with requests running", order.host));
+                violations.push_back(fmt::format("{} was unloaded while requests were running", order.host));
             engine.phase = EnginePhase::Idle;
             engine.claim = 0;
             engine.requests = 0;
@@ -391,7 +392,7 @@
             engine.phase = EnginePhase::Ready;
     }
 
-    // Entry nodes send work to held claims, and for a while after its end to an ending one.
+    // Entry nodes send requests to held claims, and to an ending claim for a while after its end.
     void route()
     {
         for (const auto& [offset, claim] : truth.claims()) {
@@ -411,7 +412,8 @@
     std::map<Offset, MonotonicTime> m_endedAt;
 };
 
-// One moment as a controller with a long lease sees it: claims folded from proposals, hosts all well.
+// The input of one round of a controller that holds a long lease: the claims result from applied proposals, and all
+// hosts are healthy.
 struct Scene {
     Scene()
     {
@@ -440,7 +442,7 @@
         return view;
     }
 
-    // Time in which the hosts that answer go on answering.
+    // Advances the time and refreshes the status of the hosts that answer.
     void pass(Milliseconds time)
     {
         now += time;
@@ -450,7 +452,7 @@
         }
     }
 
-    // A claim on fresh hosts, obeyed and ready.
+    // Adds a claim on new hosts that are ready under it.
     Offset claim(const std::string& replica, const std::vector<std::string>& names, std::string version = "1")
     {
         Offset offset = fold("claim " + replica,
@@ -485,7 +487,7 @@
         return found;
     }
 
-    // "load h1", "unload h2", ...
+    // The orders as text, such as "load h1" or "unload h2".
     std::vector<std::string> orders()
     {
         std::vector<std::string> lines;
--- a/tests/coordination/figures_test.cpp
+++ b/tests/coordination/figures_test.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-    // Prints what docs/STATE.md quotes. Times are not judged, sizes are: they follow from the codec alone.
+    // Prints the figures quoted in docs/STATE.md. Times depend on the machine and are not checked; sizes depend only on
+    // the codec and are.
     TEST(CoordinationFigures, AtTargetSize)
     {
         auto figures = coordinationFigures({});
--- a/tests/coordination/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -24,13 +24,13 @@
         Offset read = 0;
     };
 
-    // An append that was sent and has not reached the log.
+    // An append that was sent and has not reached the log yet.
     struct Append {
         std::string id;
         LeaseProposal proposal;
     };
 
-    // Two nodes that send, pause, read late and lose answers, in any order.
+    // Two nodes send proposals, pause, read the log late and lose responses, in any order.
     RC_GTEST_PROP(Lease, AHolderHasStoppedTwoMarginsBeforeTheNextOneStarts, ())
     {
         std::vector<Node> nodes { Node("a"), Node("b") };
@@ -53,7 +53,7 @@
             case 1:
                 if (!flying.empty()) {
                     Append append = flying[*rc::gen::inRange<size_t>(0, flying.size())];
-                    if (*rc::gen::inRange(0, 4) != 0) // Otherwise it arrives a second time later.
+                    if (*rc::gen::inRange(0, 4) != 0) // Otherwise the same append arrives again later.
                         std::erase_if(flying, [&](const Append& other) { return other.id == append.id; });
                     log.push_back({ log.size() + 1, { append.id, append.proposal } });
                 }
--- a/tests/coordination/randomlog.h
+++ b/tests/coordination/randomlog.h
@@ -8,7 +8,7 @@
 
 namespace Kumquatpick::Testing {
 
-// Random logs whose records mostly make sense: they name offsets and hosts that earlier records may have used.
+// Random logs of mostly plausible records: they refer to offsets and hosts that earlier records may have used.
 
 inline std::string operatorsText(uint32_t replicas)
 {
@@ -60,11 +60,11 @@
         return SlotsProposal { anyNodeId(),
             { { *rc::gen::inRange(0u, 4u), *rc::gen::inRange(0u, 3u), anyNode(), anyNode(), false, WallTime() } } };
     default:
-        return SnapshotProposal { anyOffset(), "s", 0, 1, "not a real one" };
+        return SnapshotProposal { anyOffset(), "s", 0, 1, "not a valid snapshot" };
     }
 }
 
-// Ids come from a small set, so that some records are repeats of others.
+// Ids are drawn from a small set, so that some records are duplicates.
 inline std::vector<LoggedRecord> anyLog()
 {
     std::vector<LoggedRecord> log;
--- a/tests/coordination/state_test.cpp
+++ b/tests/coordination/state_test.cpp
@@ -12,7 +12,7 @@
 
     using namespace Testing;
 
-    // A log that grows by one record a call and says what became of it.
+    // Applies one record per call and returns its verdict.
     class Fold {
     public:
         Verdict operator()(RecordBody body)
@@ -65,7 +65,7 @@
             RC_ASSERT(reader.apply(log[*rc::gen::inRange<size_t>(0, i + 1)]) == Verdict::Duplicate);
         }
         RC_ASSERT(reader.snapshot() == whole.snapshot());
-        // Not by the snapshot alone: what it left out would be missing on both sides.
+        // Compared separately from the snapshots, which would both lack a field that is not encoded.
         for (uint32_t slot = 0; slot < slotCount; ++slot)
             RC_ASSERT(reader.slots().assignment(slot) == whole.slots().assignment(slot));
     }
@@ -139,7 +139,7 @@
         EXPECT_EQ(fold(claimOf("r0", { "a", "b" })), Verdict::Accepted);
         EXPECT_EQ(fold(claimOf("r1", { "c", "b" })), Verdict::Outdated);
         EXPECT_EQ(fold->holder("c"), nullptr);
-        EXPECT_EQ(fold(claimOf("r0", { "c", "d" })), Verdict::Outdated) << "the replica has its hosts already";
+        EXPECT_EQ(fold(claimOf("r0", { "c", "d" })), Verdict::Outdated) << "the replica name is held already";
         EXPECT_EQ(fold(claimOf("r1", { "c", "c" })), Verdict::Invalid);
         EXPECT_EQ(fold(claimOf("r1", { "c", "d" })), Verdict::Accepted);
     }
@@ -155,7 +155,7 @@
         EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedBecause::EngineConfirmed }), Verdict::Accepted);
         EXPECT_EQ(fold(claimOf("r1", { "a" })), Verdict::Accepted);
         EXPECT_EQ(fold(HostsFreedProposal { 1, { "b" }, FreedBecause::HostDead }), Verdict::Accepted);
-        EXPECT_FALSE(fold->claims().contains(1)) << "a claim without hosts is forgotten";
+        EXPECT_FALSE(fold->claims().contains(1)) << "a claim without hosts is removed";
     }
 
     TEST(Claims, ALateReleaseOfAnOlderClaimDoesNotFreeTheNewOne)
@@ -225,7 +225,7 @@
         auto parts = snapshotParts(*fold, "a", 64);
         ASSERT_GT(parts.size(), 2u);
         SnapshotAssembler assembler;
-        EXPECT_FALSE(assembler.add(parts[1])) << "its beginning was not seen";
+        EXPECT_FALSE(assembler.add(parts[1])) << "the first part of the series is missing";
         std::optional<SnapshotProposal> whole;
         for (SnapshotProposal part : parts) {
             whole = assembler.add(part);
