--- a/src/coordination/claimhealth.cpp
+++ b/src/coordination/claimhealth.cpp
@@ -10,9 +10,9 @@
 {
 }
 
-const HostView* ClaimHealth::view(const ClaimProposal& claim, size_t rank) const
+const HostView* ClaimHealth::hostView(const ClaimProposal& claim, size_t rank) const
 {
-    auto& views = m_views[&claim];
+    auto& views = m_viewsByClaim[&claim];
     if (views.empty()) {
         for (const std::string& host : claim.hosts) {
             auto found = m_input.hosts.find(host);
@@ -23,62 +23,64 @@
 }
 
 // The incarnation that the engine reports takes precedence over the platform's list, which lags behind.
-HostHealth ClaimHealth::host(const ClaimProposal& claim, size_t rank) const
+HostCondition ClaimHealth::hostCondition(const ClaimProposal& claim, size_t rank) const
 {
-    const HostView* view = this->view(claim, rank);
+    const HostView* view = this->hostView(claim, rank);
     if (!view)
-        return m_input.now - m_input.watchingSince >= m_settings.goneGrace ? HostHealth::Gone : HostHealth::Silent;
-    if (!view->answersNow(m_input.now, m_settings.statusLifetime))
-        return silentHealth(*view, claim.incarnations[rank]);
+        return m_input.now - m_input.hostDataSince >= m_settings.unlistedTimeout ? HostCondition::Dead
+                                                                                 : HostCondition::Unresponsive;
+    if (!view->hasRecentStatus(m_input.now, m_settings.statusLifetime))
+        return conditionWithoutStatus(*view, claim.incarnations[rank]);
     if (view->incarnation != claim.incarnations[rank])
-        return HostHealth::Gone;
-    return view->isLeaving() ? HostHealth::Leaving : HostHealth::Present;
+        return HostCondition::Dead;
+    return view->isLeaving() ? HostCondition::Leaving : HostCondition::Healthy;
 }
 
-// This node has no data from before watchingSince, so the silence of a host that it has not probed yet is counted from
+// This node has no data from before hostDataSince, so the silence of a host that it has not probed yet is counted from
 // then.
-HostHealth ClaimHealth::silentHealth(const HostView& view, uint64_t incarnation) const
+HostCondition ClaimHealth::conditionWithoutStatus(const HostView& view, uint64_t incarnation) const
 {
-    MonotonicTime otherwiseListedSince = std::max(view.listedSince, m_input.watchingSince);
-    MonotonicTime silentSince = std::max(view.silentSince(), m_input.watchingSince);
-    bool thisLifeListed = view.listed && view.listedIncarnation == incarnation;
-    if (!thisLifeListed && m_input.now - otherwiseListedSince >= m_settings.goneGrace)
-        return HostHealth::Gone;
-    return m_input.now - silentSince >= m_settings.silentGrace ? HostHealth::Lost : HostHealth::Silent;
+    MonotonicTime listingChangedAt = std::max(view.listedSince, m_input.hostDataSince);
+    MonotonicTime unresponsiveSince = std::max(view.unresponsiveSince(), m_input.hostDataSince);
+    bool incarnationListed = view.listed && view.listedIncarnation == incarnation;
+    if (!incarnationListed && m_input.now - listingChangedAt >= m_settings.unlistedTimeout)
+        return HostCondition::Dead;
+    return m_input.now - unresponsiveSince >= m_settings.unresponsiveTimeout ? HostCondition::Unreachable
+                                                                             : HostCondition::Unresponsive;
 }
 
-bool ClaimHealth::whole(const Claim& claim) const
+bool ClaimHealth::allHostsHealthy(const Claim& claim) const
 {
     for (size_t rank = 0; rank < claim.proposal.hosts.size(); ++rank) {
-        if (host(claim.proposal, rank) != HostHealth::Present)
+        if (hostCondition(claim.proposal, rank) != HostCondition::Healthy)
             return false;
     }
     return true;
 }
 
-bool ClaimHealth::ready(const Claim& claim) const
+bool ClaimHealth::isReady(const Claim& claim) const
 {
-    if (!whole(claim))
+    if (!allHostsHealthy(claim))
         return false;
     for (size_t rank = 0; rank < claim.proposal.hosts.size(); ++rank) {
-        const HostView* view = this->view(claim.proposal, rank);
+        const HostView* view = this->hostView(claim.proposal, rank);
         if (view->claim != claim.offset || view->phase != EnginePhase::Ready)
             return false;
     }
     return true;
 }
 
-std::string_view ClaimHealth::broken(const Claim& claim) const
+std::string_view ClaimHealth::failureReason(const Claim& claim) const
 {
-    HostHealth worst = HostHealth::Present;
+    HostCondition worst = HostCondition::Healthy;
     for (size_t rank = 0; rank < claim.proposal.hosts.size(); ++rank)
-        worst = std::max(worst, host(claim.proposal, rank));
+        worst = std::max(worst, hostCondition(claim.proposal, rank));
     switch (worst) {
-    case HostHealth::Gone:
+    case HostCondition::Dead:
         return "host_dead";
-    case HostHealth::Lost:
+    case HostCondition::Unreachable:
         return "host_missing";
-    case HostHealth::Leaving:
+    case HostCondition::Leaving:
         return "host_leaving";
     default:
         return {};
@@ -88,22 +90,22 @@
 // If one host is dead, the replica has failed and its requests are lost already. A host that is unreachable from this
 // node may still process requests, so it is given the longest time that a request may take. Otherwise every host must
 // report that it runs no requests, in a status requested after all nodes have stopped sending work to the claim.
-bool ClaimHealth::drained(const Claim& claim) const
+bool ClaimHealth::isDrained(const Claim& claim) const
 {
     auto ended = m_input.endedAt.find(claim.offset);
     if (ended == m_input.endedAt.end())
         return false;
     bool idle = true;
     for (size_t rank = 0; rank < claim.proposal.hosts.size(); ++rank) {
-        HostHealth health = host(claim.proposal, rank);
-        if (health == HostHealth::Gone)
+        HostCondition condition = hostCondition(claim.proposal, rank);
+        if (condition == HostCondition::Dead)
             return true;
-        if (health == HostHealth::Lost && m_input.now - ended->second >= m_settings.longestRequest)
+        if (condition == HostCondition::Unreachable && m_input.now - ended->second >= m_settings.maxRequestTime)
             return true;
-        const HostView* view = this->view(claim.proposal, rank);
-        bool answers = health == HostHealth::Present || health == HostHealth::Leaving;
+        const HostView* view = this->hostView(claim.proposal, rank);
+        bool answers = condition == HostCondition::Healthy || condition == HostCondition::Leaving;
         bool runsNothing = answers && (view->claim != claim.offset || view->requests == 0);
-        idle = idle && runsNothing && view->statusAt >= ended->second + m_settings.drainQuiet;
+        idle = idle && runsNothing && view->statusAt >= ended->second + m_settings.routingDrainTime;
     }
     return idle;
 }
@@ -111,14 +113,15 @@
 // An engine that checks fencing numbers rejects outdated orders itself. The status of an engine that ignores them is
 // final only if it was requested after the former holder's lease ended and after the last order of this node must have
 // arrived.
-bool ClaimHealth::settled(const HostView& view, Offset claim, FencingSupport fencing, const LeaseTenure& tenure) const
+bool ClaimHealth::isStatusFinal(
+    const HostView& view, Offset claim, FencingSupport fencing, const LeaseTenure& tenure) const
 {
     if (fencing == FencingSupport::Checked)
         return true;
     if (view.statusAt < tenure.since)
         return false;
     bool ownOrderMayArrive = view.lastOrder && view.lastOrder->claim != claim
-        && view.statusAt < view.lastOrder->sentAt + m_settings.orderFlight;
+        && view.statusAt < view.lastOrder->sentAt + m_settings.maxOrderDelay;
     return !ownOrderMayArrive;
 }
 
--- a/src/coordination/claimhealth.h
+++ b/src/coordination/claimhealth.h
@@ -9,12 +9,12 @@
 namespace Kumquatpick {
 
 // State of one host of a claim, with respect to the incarnation of the host that the claim names.
-enum class HostHealth : uint8_t {
-    Present,
-    Silent, // Has not answered probes, for less than silentGrace.
+enum class HostCondition : uint8_t {
+    Healthy,
+    Unresponsive, // Has not answered probes, for less than unresponsiveTimeout.
     Leaving,
-    Lost, // Has not answered probes for at least silentGrace; its engine may still run.
-    Gone, // The claimed incarnation no longer exists.
+    Unreachable, // Has not answered probes for at least unresponsiveTimeout; its engine may still run.
+    Dead, // The claimed incarnation no longer exists.
 };
 
 // Evaluates claims against the current views of their hosts. An instance is valid for one round; the claims must
@@ -23,27 +23,27 @@
 public:
     ClaimHealth(const ControllerInput&, const ControllerSettings&);
 
-    HostHealth host(const ClaimProposal&, size_t rank) const;
-    const HostView* view(const ClaimProposal&, size_t rank) const;
+    HostCondition hostCondition(const ClaimProposal&, size_t rank) const;
+    const HostView* hostView(const ClaimProposal&, size_t rank) const;
 
-    bool whole(const Claim&) const;
-    bool ready(const Claim&) const;
+    bool allHostsHealthy(const Claim&) const;
+    bool isReady(const Claim&) const;
     // The reason to end the claim, or empty if it can be kept.
-    std::string_view broken(const Claim&) const;
+    std::string_view failureReason(const Claim&) const;
     // True if no request can still be running on an ending claim, so that an unload interrupts nothing.
-    bool drained(const Claim&) const;
+    bool isDrained(const Claim&) const;
     // True if the latest status of the engine is final: no order that may still arrive, from this node or from an
     // earlier holder of the lease, can change it.
-    bool settled(const HostView&, Offset claim, FencingSupport, const LeaseTenure&) const;
+    bool isStatusFinal(const HostView&, Offset claim, FencingSupport, const LeaseTenure&) const;
 
 private:
-    HostHealth silentHealth(const HostView&, uint64_t incarnation) const;
+    HostCondition conditionWithoutStatus(const HostView&, uint64_t incarnation) const;
 
     const ControllerInput& m_input;
     const ControllerSettings& m_settings;
     // Caches the host views of each claim: a claim is evaluated several times a round, and the map may hold a hundred
     // thousand hosts.
-    mutable std::unordered_map<const ClaimProposal*, std::vector<const HostView*>> m_views;
+    mutable std::unordered_map<const ClaimProposal*, std::vector<const HostView*>> m_viewsByClaim;
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/codec.cpp
+++ b/src/coordination/codec.cpp
@@ -48,7 +48,7 @@
 
 NodeId nodeIdFrom(const json& value)
 {
-    return { value.at("name").get<std::string>(), wholeNumber<uint64_t>(value.at("incarnation")) };
+    return { value.at("name").get<std::string>(), unsignedFrom<uint64_t>(value.at("incarnation")) };
 }
 
 NodeInfo nodeInfoFrom(const json& value)
@@ -57,7 +57,7 @@
         addressFrom(value.at("caller")) };
 }
 
-ClaimProposal claimFrom(const json& value)
+ClaimProposal claimProposalFrom(const json& value)
 {
     ClaimProposal claim;
     claim.service = value.at("service").get<std::string>();
@@ -66,11 +66,11 @@
     claim.domain = value.at("domain").get<std::string>();
     claim.hosts = value.at("hosts").get<std::vector<std::string>>();
     for (const json& incarnation : value.at("incarnations"))
-        claim.incarnations.push_back(wholeNumber<uint64_t>(incarnation));
+        claim.incarnations.push_back(unsignedFrom<uint64_t>(incarnation));
     claim.model = value.at("model").get<std::string>();
     claim.modelVersion = value.at("model_version").get<std::string>();
     if (value.contains("replaces"))
-        claim.replaces = wholeNumber<Offset>(value.at("replaces"));
+        claim.replaces = unsignedFrom<Offset>(value.at("replaces"));
     return claim;
 }
 
@@ -82,7 +82,7 @@
 }
 
 // Limited to 32 bits, so that adding the duration to a time can't overflow.
-Milliseconds durationFrom(const json& value) { return Milliseconds(wholeNumber<uint32_t>(value)); }
+Milliseconds durationFrom(const json& value) { return Milliseconds(unsignedFrom<uint32_t>(value)); }
 
 int64_t toMilliseconds(WallTime time) { return time.time_since_epoch().count(); }
 
--- a/src/coordination/codec.h
+++ b/src/coordination/codec.h
@@ -18,7 +18,7 @@
 };
 
 // Decodes an unsigned integer and checks its range: the JSON library would truncate a larger value without an error.
-template <typename Number> Number wholeNumber(const nlohmann::json& value)
+template <typename Number> Number unsignedFrom(const nlohmann::json& value)
 {
     if (!value.is_number_unsigned())
         throw DecodeFailure("expected an unsigned integer");
@@ -34,7 +34,7 @@
 
 NodeId nodeIdFrom(const nlohmann::json&);
 NodeInfo nodeInfoFrom(const nlohmann::json&);
-ClaimProposal claimFrom(const nlohmann::json&);
+ClaimProposal claimProposalFrom(const nlohmann::json&);
 WallTime wallTimeFrom(const nlohmann::json&);
 Milliseconds durationFrom(const nlohmann::json&);
 
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -37,22 +37,23 @@
 
 struct ControllerSettings {
     Milliseconds statusLifetime { 5'000 }; // Age from which a status is ignored: the host may no longer be probed.
-    Milliseconds silentGrace { 10'000 }; // A claim ends when one of its hosts has not answered for this long.
+    Milliseconds unresponsiveTimeout { 10'000 }; // A claim ends when one of its hosts has not answered for this long.
     // Time after which a host that is missing from the list counts as dead. Longer than the lists of two nodes may
     // differ.
-    Milliseconds goneGrace { 3'000 };
-    Milliseconds steadyFor { 2'000 }; // A host must have answered for this long before it can be claimed.
+    Milliseconds unlistedTimeout { 3'000 };
+    Milliseconds minAnsweringTime { 2'000 }; // A host must have answered for this long before it can be claimed.
     // Time after the end of a claim within which every node stops sending work to it.
-    Milliseconds drainQuiet { 5'000 };
+    Milliseconds routingDrainTime { 5'000 };
     // Time after the end of a claim for which requests on an unreachable host may still run.
-    Milliseconds longestRequest { 120'000 };
-    Milliseconds orderFlight { 2'000 }; // Upper bound for the delivery of an order, including its timeout.
+    Milliseconds maxRequestTime { 120'000 };
+    Milliseconds maxOrderDelay { 2'000 }; // Upper bound for the delivery of an order, including its timeout.
     // Delay before a node that most hosts do not answer proposes to take a free lease, so that other nodes can take it
     // first.
-    Milliseconds cutOffDelay { 10'000 };
-    uint32_t hostsLoadingAtOnce = 64; // Limited by the throughput of the weight store.
-    uint32_t proposalsPerRound = 64; // The log accepts several hundred appends per second from all nodes together.
-    double rollingShare = 0.1; // Share of a service's replicas that a version change may take down at the same time.
+    Milliseconds disconnectedLeaseDelay { 10'000 };
+    uint32_t maxLoadingHosts = 64; // Limited by the throughput of the weight store.
+    uint32_t maxProposalsPerRound = 64; // The log accepts several hundred appends per second from all nodes together.
+    double rollingUpdateShare
+        = 0.1; // Share of a service's replicas that a version change may take down at the same time.
 };
 
 struct ControllerInput {
@@ -61,7 +62,7 @@
     const std::map<std::string, HostView, std::less<>>& hosts;
     const std::map<Offset, MonotonicTime>& endedAt; // When this node read the end of each ending claim.
     const LeaseTracker& lease;
-    MonotonicTime watchingSince {}; // When this node first received the host list; it has no host data from before.
+    MonotonicTime hostDataSince {}; // When this node first received the host list; it has no host data from before.
     MonotonicTime now {};
 };
 
--- a/src/coordination/figures.cpp
+++ b/src/coordination/figures.cpp
@@ -13,9 +13,9 @@
 
     constexpr uint32_t replicasPerDomain = 10;
     // Number of domain names; larger deployments reuse them, with more replicas in each domain.
-    constexpr uint32_t domains = 100;
+    constexpr uint32_t domainCount = 100;
 
-    double secondsOf(const auto& work)
+    double elapsedSeconds(const auto& work)
     {
         auto started = monotonicNow();
         work();
@@ -30,7 +30,7 @@
         const std::vector<std::string>& log() const { return m_log; }
         const State& state() const { return m_state; }
         double reconcileSeconds(const std::map<Offset, Claim>&) const;
-        void darken(const std::string& domain);
+        void failDomain(const std::string& domain);
 
     private:
         void append(RecordBody);
@@ -45,7 +45,7 @@
         MonotonicTime m_now = MonotonicTime() + std::chrono::hours(24);
     };
 
-    std::string textFor(const CoordinationSize& size)
+    std::string configText(const CoordinationSize& size)
     {
         return fmt::format("[deployment]\nname = \"bench\"\nzones = [\"z1\", \"z2\", \"z3\"]\n\n[[service]]\nname = "
                            "\"writers\"\nkind = \"model\"\nmodel = \"kumquat\"\nmodel_version = \"1\"\n"
@@ -56,10 +56,10 @@
     Deployment::Deployment(const CoordinationSize& size)
         : m_size(size)
     {
-        append(ConfigProposal { 0, textFor(size), "bench" });
+        append(ConfigProposal { 0, configText(size), "bench" });
         LeaseProposal lease = m_lease.proposal();
         append(lease);
-        m_lease.sending("lease", m_now);
+        m_lease.recordSend("lease", m_now);
         m_lease.folded({ m_state.offset(), { "lease", lease } }, Verdict::Accepted, m_now);
         for (uint32_t number = 0; number < size.replicas; ++number)
             addReplica(number);
@@ -77,7 +77,7 @@
     void Deployment::addReplica(uint32_t number)
     {
         ClaimProposal claim { "writers", fmt::format("r{}", number), fmt::format("z{}", number % 3 + 1),
-            fmt::format("domain-{}", number / replicasPerDomain % domains), {}, {}, "kumquat", "1" };
+            fmt::format("domain-{}", number / replicasPerDomain % domainCount), {}, {}, "kumquat", "1" };
         for (uint32_t rank = 0; rank < m_size.hostsPerReplica; ++rank) {
             claim.hosts.push_back(fmt::format("host-{:05}-{}", number, rank));
             claim.incarnations.push_back(0x9e3779b97f4a7c15 * (uint64_t(number) * m_size.hostsPerReplica + rank + 1));
@@ -105,7 +105,7 @@
         append(std::move(slots));
     }
 
-    void Deployment::darken(const std::string& domain)
+    void Deployment::failDomain(const std::string& domain)
     {
         for (auto& [name, host] : m_hosts) {
             if (host.domain != domain)
@@ -117,12 +117,12 @@
 
     double Deployment::reconcileSeconds(const std::map<Offset, Claim>& claims) const
     {
-        return secondsOf([&] {
+        return elapsedSeconds([&] {
             reconcile({ m_state.config(), claims, m_hosts, {}, m_lease, {}, m_now }, {}, placeFirstFit);
         });
     }
 
-    Record recordOf(const std::string& body)
+    Record decodedRecord(const std::string& body)
     {
         auto decoded = settle([&] { return decodeRecord(body); });
         return std::get<Record>(std::move(decoded));
@@ -130,7 +130,7 @@
 
 }
 
-CoordinationFigures coordinationFigures(const CoordinationSize& size)
+CoordinationFigures measureCoordination(const CoordinationSize& size)
 {
     Deployment deployment(size);
     const State& state = deployment.state();
@@ -138,30 +138,30 @@
     auto records = static_cast<double>(deployment.log().size());
 
     std::vector<LoggedRecord> logged;
-    double decoding = secondsOf([&] {
+    double decodeSeconds = elapsedSeconds([&] {
         for (const std::string& body : deployment.log())
-            logged.push_back({ logged.size() + 1, recordOf(body) });
+            logged.push_back({ logged.size() + 1, decodedRecord(body) });
     });
     State folded;
-    double folding = secondsOf([&] {
+    double applySeconds = elapsedSeconds([&] {
         for (const LoggedRecord& record : logged)
             folded.apply(record);
     });
-    figures.recordsPerSecond = records / (decoding + folding);
-    figures.foldsPerSecond = records / folding;
+    figures.recordsPerSecond = records / (decodeSeconds + applySeconds);
+    figures.appliesPerSecond = records / applySeconds;
     figures.claimRecordBytes = deployment.log()[2].size(); // The first two records are the configuration and the lease.
 
     SnapshotProposal snapshot { state.offset(), "bench", 0, 1, {} };
-    figures.snapshotSeconds = secondsOf([&] { snapshot.state = state.snapshot(); });
+    figures.snapshotSeconds = elapsedSeconds([&] { snapshot.state = state.snapshot(); });
     figures.snapshotBytes = snapshot.state.size();
     figures.snapshotRecords = snapshotParts(state, "bench").size();
-    figures.restoreSeconds = secondsOf([&] { settle([&] { return State::restore(snapshot); }); });
-    figures.copySeconds = secondsOf([&] { auto copy = std::make_unique<const State>(state); });
+    figures.restoreSeconds = elapsedSeconds([&] { settle([&] { return State::restore(snapshot); }); });
+    figures.copySeconds = elapsedSeconds([&] { auto copy = std::make_unique<const State>(state); });
 
-    figures.reconcileSettledSeconds = deployment.reconcileSeconds(state.claims());
-    figures.reconcileEmptySeconds = deployment.reconcileSeconds({});
-    deployment.darken("domain-7");
-    figures.reconcileDarkDomainSeconds = deployment.reconcileSeconds(state.claims());
+    figures.reconcileUnchangedSeconds = deployment.reconcileSeconds(state.claims());
+    figures.reconcileAllMissingSeconds = deployment.reconcileSeconds({});
+    deployment.failDomain("domain-7");
+    figures.reconcileFailedDomainSeconds = deployment.reconcileSeconds(state.claims());
     return figures;
 }
 
--- a/src/coordination/hostregistry.cpp
+++ b/src/coordination/hostregistry.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    constexpr std::chrono::minutes rememberGone { 10 };
+    constexpr std::chrono::minutes unlistedRetention { 10 };
 
-    void setListing(HostView& view, bool listed, uint64_t incarnation, MonotonicTime now)
+    void updateListing(HostView& view, bool listed, uint64_t incarnation, MonotonicTime now)
     {
         if (view.listed != listed || view.listedIncarnation != incarnation)
             view.listedSince = now;
@@ -32,7 +32,7 @@
 
 void HostRegistry::setListed(std::span<const HostEntry> entries, MonotonicTime now)
 {
-    m_watchingSince = std::min(m_watchingSince, now);
+    m_hostDataSince = std::min(m_hostDataSince, now);
     std::set<std::string_view> listed;
     for (const HostEntry& entry : entries) {
         listed.insert(entry.host);
@@ -41,16 +41,17 @@
         host.domain = entry.domain;
         host.service = entry.service;
         host.leaving = entry.leaving;
-        setListing(host, true, entry.incarnation, now);
+        updateListing(host, true, entry.incarnation, now);
     }
     for (auto& [name, host] : m_views) {
         if (!listed.contains(name))
-            setListing(host, false, host.listedIncarnation, now);
+            updateListing(host, false, host.listedIncarnation, now);
     }
-    forgetLongGone(now);
+    removeLongUnlisted(now);
 }
 
-void HostRegistry::answered(std::string_view host, const HostAnswer& answer, MonotonicTime askedAt, MonotonicTime now)
+void HostRegistry::recordAnswer(
+    std::string_view host, const HostAnswer& answer, MonotonicTime askedAt, MonotonicTime now)
 {
     HostView& known = view(host, now);
     // The answers to probes may arrive out of order.
@@ -65,9 +66,12 @@
     known.statusAt = askedAt;
 }
 
-void HostRegistry::unanswered(std::string_view host, MonotonicTime now) { setAnswering(view(host, now), false, now); }
+void HostRegistry::recordNoAnswer(std::string_view host, MonotonicTime now)
+{
+    setAnswering(view(host, now), false, now);
+}
 
-void HostRegistry::sending(std::string_view host, Offset claim, MonotonicTime now)
+void HostRegistry::recordOrder(std::string_view host, Offset claim, MonotonicTime now)
 {
     view(host, now).lastOrder = SentOrder { claim, now };
 }
@@ -79,11 +83,12 @@
     host.answering = answering;
 }
 
-void HostRegistry::forgetLongGone(MonotonicTime now)
+void HostRegistry::removeLongUnlisted(MonotonicTime now)
 {
     std::erase_if(m_views, [&](const auto& entry) {
         const HostView& host = entry.second;
-        return !host.listed && !host.answering && now - std::max(host.listedSince, host.answeringSince) > rememberGone;
+        return !host.listed && !host.answering
+            && now - std::max(host.listedSince, host.answeringSince) > unlistedRetention;
     });
 }
 
--- a/src/coordination/hostregistry.h
+++ b/src/coordination/hostregistry.h
@@ -34,23 +34,23 @@
 public:
     void setListed(std::span<const HostEntry>, MonotonicTime now);
     // askedAt is the time at which the probe was sent; later changes on the host are not in the answer.
-    void answered(std::string_view host, const HostAnswer&, MonotonicTime askedAt, MonotonicTime now);
-    void unanswered(std::string_view host, MonotonicTime now);
+    void recordAnswer(std::string_view host, const HostAnswer&, MonotonicTime askedAt, MonotonicTime now);
+    void recordNoAnswer(std::string_view host, MonotonicTime now);
     // Must be called before an order is sent, so that the order is on record even if the sender is interrupted right
     // after sending.
-    void sending(std::string_view host, Offset claim, MonotonicTime now);
+    void recordOrder(std::string_view host, Offset claim, MonotonicTime now);
 
     const std::map<std::string, HostView, std::less<>>& views() const { return m_views; }
     // The time of the first list; there is no host data from before.
-    MonotonicTime watchingSince() const { return m_watchingSince; }
+    MonotonicTime hostDataSince() const { return m_hostDataSince; }
 
 private:
     HostView& view(std::string_view host, MonotonicTime now);
     void setAnswering(HostView&, bool, MonotonicTime now);
-    void forgetLongGone(MonotonicTime now);
+    void removeLongUnlisted(MonotonicTime now);
 
     std::map<std::string, HostView, std::less<>> m_views;
-    MonotonicTime m_watchingSince = MonotonicTime::max();
+    MonotonicTime m_hostDataSince = MonotonicTime::max();
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/hostview.h
+++ b/src/coordination/hostview.h
@@ -46,12 +46,12 @@
     std::optional<SentOrder> lastOrder;
 
     bool isLeaving() const { return leaving || engineLeaving; }
-    bool answersNow(MonotonicTime now, Milliseconds statusLifetime) const
+    bool hasRecentStatus(MonotonicTime now, Milliseconds statusLifetime) const
     {
         return answering && now - statusAt <= statusLifetime;
     }
-    // Start of the current silence; meaningful only while answersNow() is false.
-    MonotonicTime silentSince() const { return answering ? statusAt : answeringSince; }
+    // Start of the current silence; meaningful only while hasRecentStatus() is false.
+    MonotonicTime unresponsiveSince() const { return answering ? statusAt : answeringSince; }
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/journal.cpp
+++ b/src/coordination/journal.cpp
@@ -10,25 +10,25 @@
     auto found = m_entries.find(key);
     if (found == m_entries.end())
         return std::nullopt;
-    return expand(found->first, found->second);
+    return toJournalEntry(found->first, found->second);
 }
 
-void Journal::keep(const JournalEntry& entry)
+void Journal::keepLatest(const JournalEntry& entry)
 {
-    Kept& kept = m_entries[entry.key];
-    kept.issued = std::max(kept.issued, entry.issued);
-    if (std::pair(entry.voidedUpTo, entry.grantedAttempt) >= std::pair(kept.voidedUpTo, kept.grantedAttempt))
+    StoredEntry& stored = m_entries[entry.key];
+    stored.issued = std::max(stored.issued, entry.issued);
+    if (std::pair(entry.voidedUpTo, entry.grantedAttempt) >= std::pair(stored.voidedUpTo, stored.grantedAttempt))
         replace(entry);
 }
 
 void Journal::replace(const JournalEntry& entry)
 {
-    Kept& kept = m_entries[entry.key];
-    kept.issued = std::max(kept.issued, entry.issued);
-    kept.voidedUpTo = entry.voidedUpTo;
-    kept.grantedAttempt = entry.grantedAttempt;
-    kept.grantedTo = entry.grantedTo;
-    kept.node = indexOf(entry.grantedAt);
+    StoredEntry& stored = m_entries[entry.key];
+    stored.issued = std::max(stored.issued, entry.issued);
+    stored.voidedUpTo = entry.voidedUpTo;
+    stored.grantedAttempt = entry.grantedAttempt;
+    stored.grantedTo = entry.grantedTo;
+    stored.node = nodeIndex(entry.grantedAt);
 }
 
 void Journal::forget(WallTime before)
@@ -40,10 +40,10 @@
 std::vector<CopyRequest> Journal::split(size_t entriesPerPart) const
 {
     std::vector<CopyRequest> parts(1);
-    for (const auto& [key, kept] : m_entries) {
+    for (const auto& [key, stored] : m_entries) {
         if (parts.back().entries.size() == entriesPerPart)
             parts.emplace_back();
-        parts.back().entries.push_back(expand(key, kept));
+        parts.back().entries.push_back(toJournalEntry(key, stored));
     }
     for (size_t i = 0; i < parts.size(); i++) {
         parts[i].part = static_cast<uint32_t>(i);
@@ -53,14 +53,14 @@
     return parts;
 }
 
-void Journal::take(const CopyRequest& part)
+void Journal::merge(const CopyRequest& part)
 {
     m_forgottenBefore = std::max(m_forgottenBefore, part.forgottenBefore);
     for (const JournalEntry& entry : part.entries)
-        keep(entry);
+        keepLatest(entry);
 }
 
-uint32_t Journal::indexOf(const NodeInfo& node)
+uint32_t Journal::nodeIndex(const NodeInfo& node)
 {
     auto found = std::find(m_nodes.begin(), m_nodes.end(), node);
     if (found == m_nodes.end())
@@ -68,15 +68,15 @@
     return static_cast<uint32_t>(found - m_nodes.begin());
 }
 
-JournalEntry Journal::expand(const std::string& key, const Kept& kept) const
+JournalEntry Journal::toJournalEntry(const std::string& key, const StoredEntry& stored) const
 {
     JournalEntry entry;
     entry.key = key;
-    entry.issued = kept.issued;
-    entry.voidedUpTo = kept.voidedUpTo;
-    entry.grantedAttempt = kept.grantedAttempt;
-    entry.grantedTo = kept.grantedTo;
-    entry.grantedAt = m_nodes[kept.node];
+    entry.issued = stored.issued;
+    entry.voidedUpTo = stored.voidedUpTo;
+    entry.grantedAttempt = stored.grantedAttempt;
+    entry.grantedTo = stored.grantedTo;
+    entry.grantedAt = m_nodes[stored.node];
     return entry;
 }
 
--- a/src/coordination/journal.h
+++ b/src/coordination/journal.h
@@ -20,7 +20,7 @@
     std::optional<JournalEntry> find(std::string_view key) const;
     // Stores the entry unless a later one for the same key is stored already: messages may arrive late or twice, and
     // the pair (voidedUpTo, grantedAttempt) of an entry only increases.
-    void keep(const JournalEntry&);
+    void keepLatest(const JournalEntry&);
     void replace(const JournalEntry&);
 
     // Removes the entries of keys issued before this time, and advances forgottenBefore() to it.
@@ -32,10 +32,10 @@
 
     // Splits the journal into parts of at most this many entries; returns at least one part.
     std::vector<CopyRequest> split(size_t entriesPerPart) const;
-    void take(const CopyRequest& part);
+    void merge(const CopyRequest& part);
 
 private:
-    struct Kept {
+    struct StoredEntry {
         WallTime issued {};
         uint32_t voidedUpTo = 0;
         uint32_t grantedAttempt = 0;
@@ -48,10 +48,10 @@
         size_t operator()(std::string_view key) const { return std::hash<std::string_view> {}(key); }
     };
 
-    uint32_t indexOf(const NodeInfo&);
-    JournalEntry expand(const std::string& key, const Kept&) const;
+    uint32_t nodeIndex(const NodeInfo&);
+    JournalEntry toJournalEntry(const std::string& key, const StoredEntry&) const;
 
-    std::unordered_map<std::string, Kept, KeyHash, std::equal_to<>> m_entries;
+    std::unordered_map<std::string, StoredEntry, KeyHash, std::equal_to<>> m_entries;
     std::vector<NodeInfo> m_nodes { NodeInfo {} }; // The first element stands for "never granted".
     WallTime m_forgottenBefore {};
 };
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -10,7 +10,7 @@
     constexpr int renewalsPerDuration = 3;
 
     // Limit for the proposals that were sent and never read; a larger number means that the log is down.
-    constexpr size_t mostSent = 64;
+    constexpr size_t maxPendingProposals = 64;
 
 }
 
@@ -27,11 +27,11 @@
     return { m_lease, m_current ? m_current->offset : 0, m_self, m_duration };
 }
 
-void LeaseTracker::sending(const std::string& id, MonotonicTime now)
+void LeaseTracker::recordSend(const std::string& id, MonotonicTime now)
 {
-    if (m_sent.size() >= mostSent)
-        m_sent.clear();
-    m_sent.emplace(id, now);
+    if (m_pendingProposals.size() >= maxPendingProposals)
+        m_pendingProposals.clear();
+    m_pendingProposals.emplace(id, now);
 }
 
 void LeaseTracker::folded(const LoggedRecord& logged, Verdict verdict, MonotonicTime readAt)
@@ -39,7 +39,7 @@
     auto* proposal = std::get_if<LeaseProposal>(&logged.record.body);
     if (!proposal || proposal->lease != m_lease)
         return;
-    auto sent = m_sent.extract(logged.record.id);
+    auto sent = m_pendingProposals.extract(logged.record.id);
     if (verdict != Verdict::Accepted)
         return;
     auto sentAt = sent ? std::optional(sent.mapped()) : std::nullopt;
@@ -65,18 +65,18 @@
     m_readAt = readAt;
     m_sentAt = own ? sentAt : std::nullopt;
     if (own && !renewal)
-        m_since = readAt;
+        m_tenureSince = readAt;
 }
 
-std::optional<LeaseTenure> LeaseTracker::held(MonotonicTime now) const
+std::optional<LeaseTenure> LeaseTracker::currentTenure(MonotonicTime now) const
 {
     if (!m_current || !m_sentAt)
         return std::nullopt;
-    LeaseTenure tenure { m_since, *m_sentAt + m_current->duration - m_margin };
+    LeaseTenure tenure { m_tenureSince, *m_sentAt + m_current->duration - m_margin };
     return now < tenure.until ? std::optional(tenure) : std::nullopt;
 }
 
-bool LeaseTracker::proposalDue(MonotonicTime now) const
+bool LeaseTracker::isProposalDue(MonotonicTime now) const
 {
     if (!m_current)
         return true;
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -25,16 +25,16 @@
     // Returns the proposal that takes or renews the lease.
     LeaseProposal proposal() const;
     // Must be called before a proposal with this record id is sent; only the first call for an id has an effect.
-    void sending(const std::string& id, MonotonicTime now);
+    void recordSend(const std::string& id, MonotonicTime now);
     void folded(const LoggedRecord&, Verdict, MonotonicTime readAt);
     // Handles a state restored from a snapshot: a lease in the state that differs from the tracked one replaces it, and
     // its duration is counted from readAt.
     void restored(const State&, MonotonicTime readAt);
 
     // Returns the tenure of this node, if it holds the lease now.
-    std::optional<LeaseTenure> held(MonotonicTime now) const;
+    std::optional<LeaseTenure> currentTenure(MonotonicTime now) const;
     // True if nobody holds the lease, or the lease of this node is due for renewal.
-    bool proposalDue(MonotonicTime now) const;
+    bool isProposalDue(MonotonicTime now) const;
 
 private:
     void accept(const HeldLease&, std::optional<MonotonicTime> sentAt, MonotonicTime readAt);
@@ -44,11 +44,11 @@
     Milliseconds m_duration;
     Milliseconds m_margin;
     // Send times of this node's own proposals that it has not yet read from the log, by record id.
-    std::map<std::string, MonotonicTime> m_sent;
+    std::map<std::string, MonotonicTime> m_pendingProposals;
     std::optional<HeldLease> m_current;
     MonotonicTime m_readAt {};
     std::optional<MonotonicTime> m_sentAt; // Send time of the current lease's proposal, if this node is the holder.
-    MonotonicTime m_since {};
+    MonotonicTime m_tenureSince {};
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/placer.h
+++ b/src/coordination/placer.h
@@ -17,7 +17,7 @@
     std::vector<std::string> hosts;
 };
 
-struct PlacementQuestion {
+struct PlacementRequest {
     const ServiceText& service;
     const OperatorsText& text;
     const std::map<Offset, Claim>& claims;
@@ -32,12 +32,12 @@
 };
 
 // Returns no value if no domain has room for the service.
-using Placer = std::function<std::optional<Placement>(const PlacementQuestion&)>;
+using Placer = std::function<std::optional<Placement>(const PlacementRequest&)>;
 
 // A service that lacks a replica for which no domain has room or will soon have room.
-struct MoveQuestion {
+struct MoveRequest {
     // Its free hosts exclude those reserved for other moves and for other services that lack replicas.
-    const PlacementQuestion& wanted;
+    const PlacementRequest& wanted;
     std::span<const Claim* const> movable; // Replicas that are ready and are not being moved.
 };
 
@@ -48,12 +48,12 @@
 };
 
 // Returns no value if no move makes room for the service.
-using Mover = std::function<std::optional<ReplicaMove>(const MoveQuestion&)>;
+using Mover = std::function<std::optional<ReplicaMove>(const MoveRequest&)>;
 
 // Placement policy that the controller is configured with.
 struct PlacementRules {
     Placer place;
-    Mover move = [](const MoveQuestion&) { return std::nullopt; };
+    Mover move = [](const MoveRequest&) { return std::nullopt; };
     // Upper limit for running moves when another one is begun for this service.
     std::function<size_t(const ServiceText&, bool recoveriesWait)> movesAtOnce
         = [](const ServiceText&, bool) { return 0; };
@@ -62,6 +62,6 @@
 };
 
 // Default policy: takes the first hosts of the first domain that has enough free hosts.
-std::optional<Placement> placeFirstFit(const PlacementQuestion&);
+std::optional<Placement> placeFirstFit(const PlacementRequest&);
 
 } // namespace Kumquatpick
--- a/src/coordination/record.cpp
+++ b/src/coordination/record.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-    std::string_view name(FreedBecause because)
+    std::string_view name(FreedReason because)
     {
-        return because == FreedBecause::HostDead ? "host_dead" : "engine_confirmed";
+        return because == FreedReason::HostDead ? "host_dead" : "engine_confirmed";
     }
 
-    FreedBecause freedBecauseFrom(const json& value)
+    FreedReason freedReasonFrom(const json& value)
     {
-        for (auto because : { FreedBecause::EngineConfirmed, FreedBecause::HostDead }) {
+        for (auto because : { FreedReason::EngineConfirmed, FreedReason::HostDead }) {
             if (value.get_ref<const std::string&>() == name(because))
                 return because;
         }
@@ -32,10 +32,10 @@
     SlotChange slotChangeFrom(const json& value)
     {
         SlotChange change;
-        change.slot = wholeNumber<uint32_t>(value.at("slot"));
+        change.slot = unsignedFrom<uint32_t>(value.at("slot"));
         if (change.slot >= slotCount)
             throw DecodeFailure("slot number out of range");
-        change.expectedEpoch = wholeNumber<uint32_t>(value.at("expected_epoch"));
+        change.expectedEpoch = unsignedFrom<uint32_t>(value.at("expected_epoch"));
         change.owner = nodeInfoFrom(value.at("owner"));
         change.witness = nodeInfoFrom(value.at("witness"));
         change.journalLost = value.at("journal_lost").get<bool>();
@@ -89,24 +89,24 @@
 
     ConfigProposal configFrom(const json& value)
     {
-        return { wholeNumber<Offset>(value.at("based_on")), value.at("text").get<std::string>(),
+        return { unsignedFrom<Offset>(value.at("based_on")), value.at("text").get<std::string>(),
             value.at("operator").get<std::string>() };
     }
 
     ClaimEndProposal claimEndFrom(const json& value)
     {
-        return { wholeNumber<Offset>(value.at("claim")), value.at("reason").get<std::string>() };
+        return { unsignedFrom<Offset>(value.at("claim")), value.at("reason").get<std::string>() };
     }
 
     HostsFreedProposal hostsFreedFrom(const json& value)
     {
-        return { wholeNumber<Offset>(value.at("claim")), value.at("hosts").get<std::vector<std::string>>(),
-            freedBecauseFrom(value.at("because")) };
+        return { unsignedFrom<Offset>(value.at("claim")), value.at("hosts").get<std::vector<std::string>>(),
+            freedReasonFrom(value.at("because")) };
     }
 
     LeaseProposal leaseFrom(const json& value)
     {
-        return { value.at("lease").get<std::string>(), wholeNumber<Offset>(value.at("previous")),
+        return { value.at("lease").get<std::string>(), unsignedFrom<Offset>(value.at("previous")),
             nodeIdFrom(value.at("holder")), durationFrom(value.at("duration_ms")) };
     }
 
@@ -120,8 +120,8 @@
 
     SnapshotProposal snapshotFrom(const json& value)
     {
-        SnapshotProposal snapshot { wholeNumber<Offset>(value.at("covers")), value.at("series").get<std::string>(),
-            wholeNumber<uint32_t>(value.at("part")), wholeNumber<uint32_t>(value.at("parts")),
+        SnapshotProposal snapshot { unsignedFrom<Offset>(value.at("covers")), value.at("series").get<std::string>(),
+            unsignedFrom<uint32_t>(value.at("part")), unsignedFrom<uint32_t>(value.at("parts")),
             value.at("state").get<std::string>() };
         if (snapshot.part >= snapshot.parts)
             throw DecodeFailure("snapshot part number out of range");
@@ -134,7 +134,7 @@
         if (kind == "config")
             return configFrom(value);
         if (kind == "claim")
-            return claimFrom(value);
+            return claimProposalFrom(value);
         if (kind == "claim_end")
             return claimEndFrom(value);
         if (kind == "hosts_freed")
--- a/src/coordination/record.h
+++ b/src/coordination/record.h
@@ -45,7 +45,7 @@
     std::string reason;
 };
 
-enum class FreedBecause : uint8_t {
+enum class FreedReason : uint8_t {
     EngineConfirmed, // The engine reported that it runs nothing under this claim.
     HostDead, // According to the platform's list, this incarnation of the host no longer exists.
 };
@@ -54,7 +54,7 @@
 struct HostsFreedProposal {
     Offset claim = 0;
     std::vector<std::string> hosts;
-    FreedBecause because = FreedBecause::EngineConfirmed;
+    FreedReason because = FreedReason::EngineConfirmed;
 };
 
 // Takes or renews a lease that keeps two controllers from appending redundant proposals. Safety does not depend on it,
--- a/src/coordination/slotmember.cpp
+++ b/src/coordination/slotmember.cpp
@@ -141,7 +141,7 @@
 
 void SlotMember::record(JournalEntry entry, const Ask& asked, SlotActions& actions)
 {
-    m_journal.keep(entry);
+    m_journal.keepLatest(entry);
     if (isAlone())
         return decideOwn(asked, std::move(entry), actions);
     uint64_t serial = ++m_lastSerial;
@@ -188,7 +188,7 @@
     reply.serial = request.serial;
     reply.kept = isEpoch && isFromOwner && isWitness() && m_holdsJournal && !isRefused;
     if (reply.kept && m_guards.witnessKeepsTheLatest)
-        m_journal.keep(request.entry);
+        m_journal.keepLatest(request.entry);
     else if (reply.kept)
         m_journal.replace(request.entry);
     actions.push_back(SlotSend { request.owner, reply });
@@ -270,7 +270,7 @@
     if (copy.proposer != request.proposer.id)
         copy = { request.proposer.id, request.parts, {}, {} };
     if (copy.partsKept.insert(request.part).second)
-        copy.journal.take(request);
+        copy.journal.merge(request);
     CopyReply reply;
     reply.slot = m_slot;
     reply.epoch = request.epoch;
--- a/src/coordination/snapshot.cpp
+++ b/src/coordination/snapshot.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    constexpr double holderShare = 0.25; // Share of the retention period.
-    constexpr double othersShare = 0.5;
-    constexpr double othersSpread = 0.25;
+    constexpr double holderRetentionShare = 0.25; // Share of the retention period.
+    constexpr double otherRetentionShare = 0.5;
+    constexpr double otherRetentionSpread = 0.25;
 
 }
 
@@ -25,10 +25,10 @@
 // Parts arrive in order. A part out of order is a repetition, or the first parts of its series have expired.
 std::optional<SnapshotProposal> SnapshotAssembler::add(const SnapshotProposal& proposal)
 {
-    if (proposal.part == 0 && !m_series.contains(proposal.series))
-        m_series[proposal.series] = {};
-    auto found = m_series.find(proposal.series);
-    if (found == m_series.end() || found->second.size() != proposal.part)
+    if (proposal.part == 0 && !m_partsBySeries.contains(proposal.series))
+        m_partsBySeries[proposal.series] = {};
+    auto found = m_partsBySeries.find(proposal.series);
+    if (found == m_partsBySeries.end() || found->second.size() != proposal.part)
         return std::nullopt;
     found->second.push_back(proposal);
     if (found->second.size() != proposal.parts)
@@ -36,16 +36,18 @@
     SnapshotProposal whole { proposal.covers, proposal.series, 0, 1, {} };
     for (const SnapshotProposal& part : found->second)
         whole.state += part.state;
-    m_series.erase(found);
+    m_partsBySeries.erase(found);
     return whole;
 }
 
-bool snapshotDue(const SnapshotDuty& duty)
+bool isSnapshotDue(const SnapshotConditions& conditions)
 {
-    if (duty.uncoveredExpired)
+    if (conditions.uncoveredExpired)
         return true;
-    double share = duty.holdsLease ? holderShare : othersShare + othersSpread * duty.spread;
-    return static_cast<double>(duty.oldestNeededAge.count()) >= share * static_cast<double>(duty.retention.count());
+    double share
+        = conditions.holdsLease ? holderRetentionShare : otherRetentionShare + otherRetentionSpread * conditions.spread;
+    return static_cast<double>(conditions.oldestUncoveredAge.count())
+        >= share * static_cast<double>(conditions.retention.count());
 }
 
 } // namespace Kumquatpick
--- a/src/coordination/snapshot.h
+++ b/src/coordination/snapshot.h
@@ -26,14 +26,14 @@
     std::optional<SnapshotProposal> add(const SnapshotProposal&);
 
 private:
-    std::map<std::string, std::vector<SnapshotProposal>> m_series;
+    std::map<std::string, std::vector<SnapshotProposal>> m_partsBySeries;
 };
 
 // Input for the decision whether this node appends a new snapshot. Records expire after the retention period of the
 // log; a new reader needs the records from the first one after the `covers` offset of the newest snapshot.
-struct SnapshotDuty {
+struct SnapshotConditions {
     Milliseconds retention {}; // Retention period of the log, as configured by its operators.
-    Milliseconds oldestNeededAge {}; // Age of the first record that no snapshot covers.
+    Milliseconds oldestUncoveredAge {}; // Age of the first record that no snapshot covers.
     bool uncoveredExpired = false; // A record that no snapshot covers has expired, so no new reader can start.
     bool holdsLease = false;
     double spread = 0; // Per-node value in 0..1; staggers the nodes that do not hold the lease.
@@ -41,6 +41,6 @@
 
 // The lease holder takes a snapshot after a quarter of the retention period. The other nodes start at half of it, in
 // case the holder has failed.
-bool snapshotDue(const SnapshotDuty&);
+bool isSnapshotDue(const SnapshotConditions&);
 
 } // namespace Kumquatpick
--- a/src/coordination/state.cpp
+++ b/src/coordination/state.cpp
@@ -16,19 +16,20 @@
     std::shared_ptr<const AcceptedConfig> parseAccepted(Offset version, std::string_view text)
     {
         auto parsed = parseOperatorsText(text);
-        auto* whole = std::get_if<OperatorsText>(&parsed);
-        if (!whole)
+        auto* operatorsText = std::get_if<OperatorsText>(&parsed);
+        if (!operatorsText)
             return nullptr;
-        return std::make_shared<const AcceptedConfig>(AcceptedConfig { version, std::move(*whole), std::string(text) });
+        return std::make_shared<const AcceptedConfig>(
+            AcceptedConfig { version, std::move(*operatorsText), std::string(text) });
     }
 
     std::string replicaKey(const ClaimProposal& claim) { return claim.service + "/" + claim.replica; }
 
-    bool wellFormed(const ClaimProposal& claim)
+    bool isWellFormed(const ClaimProposal& claim)
     {
         std::set<std::string_view> distinct(claim.hosts.begin(), claim.hosts.end());
-        bool namesAll = !claim.service.empty() && !claim.replica.empty() && !distinct.contains("");
-        return namesAll && !claim.hosts.empty() && distinct.size() == claim.hosts.size()
+        bool allNamesSet = !claim.service.empty() && !claim.replica.empty() && !distinct.contains("");
+        return allNamesSet && !claim.hosts.empty() && distinct.size() == claim.hosts.size()
             && claim.incarnations.size() == claim.hosts.size();
     }
 
@@ -48,7 +49,7 @@
     Claim claimFromSnapshot(const json& value)
     {
         Claim claim;
-        claim.offset = wholeNumber<Offset>(value.at(0));
+        claim.offset = unsignedFrom<Offset>(value.at(0));
         claim.phase = value.at(1).get<bool>() ? ClaimPhase::Ending : ClaimPhase::Held;
         ClaimProposal& proposal = claim.proposal;
         proposal.service = value.at(2).get<std::string>();
@@ -60,9 +61,9 @@
         proposal.model = value.at(8).get<std::string>();
         proposal.modelVersion = value.at(9).get<std::string>();
         // The field is omitted if the claim replaces none, and missing from older snapshots.
-        constexpr size_t replacesAt = 11;
-        if (value.size() > replacesAt)
-            proposal.replaces = wholeNumber<Offset>(value.at(replacesAt));
+        constexpr size_t replacesIndex = 11;
+        if (value.size() > replacesIndex)
+            proposal.replaces = unsignedFrom<Offset>(value.at(replacesIndex));
         if (claim.phase == ClaimPhase::Held)
             claim.hostsHeld.insert(proposal.hosts.begin(), proposal.hosts.end());
         else
@@ -79,12 +80,12 @@
 
     void restoreSlot(SlotTable& slots, const json& value)
     {
-        auto slot = wholeNumber<uint32_t>(value.at(0));
+        auto slot = unsignedFrom<uint32_t>(value.at(0));
         if (slot >= slotCount)
             throw DecodeFailure("slot number out of range");
         slots.restore(slot,
-            { wholeNumber<uint32_t>(value.at(1)), nodeInfoFrom(value.at(2)), nodeInfoFrom(value.at(3)),
-                wallTimeFrom(value.at(4)), { value.at(5).get<std::string>(), wholeNumber<uint64_t>(value.at(6)) },
+            { unsignedFrom<uint32_t>(value.at(1)), nodeInfoFrom(value.at(2)), nodeInfoFrom(value.at(3)),
+                wallTimeFrom(value.at(4)), { value.at(5).get<std::string>(), unsignedFrom<uint64_t>(value.at(6)) },
                 value.at(7).get<bool>() });
     }
 
@@ -95,7 +96,7 @@
 
     Verdict verdictFrom(const json& value)
     {
-        auto verdict = wholeNumber<uint8_t>(value);
+        auto verdict = unsignedFrom<uint8_t>(value);
         if (verdict > static_cast<uint8_t>(Verdict::Duplicate))
             throw DecodeFailure("verdict out of range");
         return static_cast<Verdict>(verdict);
@@ -119,8 +120,8 @@
     if (m_decided.contains(logged.record.id))
         return Verdict::Duplicate;
     Verdict verdict = std::visit([&](const auto& body) { return applyBody(body, logged.offset); }, logged.record.body);
-    remember(logged.record.id, { logged.offset, verdict });
-    dropOvertakenAdoption();
+    rememberDecision(logged.record.id, { logged.offset, verdict });
+    dropAppliedAdoption();
     return verdict;
 }
 
@@ -134,8 +135,8 @@
 
 const Claim* State::holder(std::string_view host) const
 {
-    auto found = m_holders.find(std::string(host));
-    return found == m_holders.end() ? nullptr : &m_claims.at(found->second);
+    auto found = m_claimByHost.find(std::string(host));
+    return found == m_claimByHost.end() ? nullptr : &m_claims.at(found->second);
 }
 
 const HeldLease* State::lease(std::string_view name) const
@@ -166,20 +167,20 @@
 }
 
 // Once the records up to the adopted version are applied, the applied configuration is that version or a newer one.
-void State::dropOvertakenAdoption()
+void State::dropAppliedAdoption()
 {
     if (m_adopted && m_config && m_config->version >= m_adopted->version)
         m_adopted.reset();
 }
 
-void State::remember(const std::string& id, DecidedRecord decided)
+void State::rememberDecision(const std::string& id, DecidedRecord decided)
 {
     m_decided.emplace(id, decided);
-    m_decidedOrder.push_back(id);
-    if (m_decidedOrder.size() <= rememberedIds)
+    m_decidedIds.push_back(id);
+    if (m_decidedIds.size() <= maxDecidedRecords)
         return;
-    m_decided.erase(m_decidedOrder.front());
-    m_decidedOrder.pop_front();
+    m_decided.erase(m_decidedIds.front());
+    m_decidedIds.pop_front();
 }
 
 Verdict State::applyBody(const ConfigProposal& proposal, Offset offset)
@@ -196,15 +197,18 @@
 
 // Only one claim at a time can hold a replica name, so that two controllers that replace the same missing replica on
 // different hosts do not both succeed.
-bool State::replicaHeld(const ClaimProposal& proposal) const { return m_replicas.contains(replicaKey(proposal)); }
+bool State::isReplicaHeld(const ClaimProposal& proposal) const
+{
+    return m_claimByReplica.contains(replicaKey(proposal));
+}
 
 Verdict State::applyBody(const ClaimProposal& proposal, Offset offset)
 {
-    if (!wellFormed(proposal))
+    if (!isWellFormed(proposal))
         return Verdict::Invalid;
     bool taken = std::any_of(proposal.hosts.begin(), proposal.hosts.end(),
-        [&](const std::string& host) { return m_holders.contains(host); });
-    if (taken || replicaHeld(proposal))
+        [&](const std::string& host) { return m_claimByHost.contains(host); });
+    if (taken || isReplicaHeld(proposal))
         return Verdict::Outdated;
     insertClaim({ offset, ClaimPhase::Held, proposal, { proposal.hosts.begin(), proposal.hosts.end() } });
     return Verdict::Accepted;
@@ -213,9 +217,9 @@
 void State::insertClaim(Claim claim)
 {
     for (const std::string& host : claim.hostsHeld)
-        m_holders[host] = claim.offset;
+        m_claimByHost[host] = claim.offset;
     if (claim.phase == ClaimPhase::Held)
-        m_replicas[replicaKey(claim.proposal)] = claim.offset;
+        m_claimByReplica[replicaKey(claim.proposal)] = claim.offset;
     Offset offset = claim.offset;
     m_claims.insert_or_assign(offset, std::move(claim));
 }
@@ -226,7 +230,7 @@
     if (found == m_claims.end() || found->second.phase == ClaimPhase::Ending)
         return Verdict::Outdated;
     found->second.phase = ClaimPhase::Ending;
-    m_replicas.erase(replicaKey(found->second.proposal));
+    m_claimByReplica.erase(replicaKey(found->second.proposal));
     return Verdict::Accepted;
 }
 
@@ -241,7 +245,7 @@
     for (const std::string& host : proposal.hosts) {
         if (found->second.hostsHeld.erase(host) == 0)
             continue;
-        m_holders.erase(host);
+        m_claimByHost.erase(host);
         ++freed;
     }
     if (found->second.hostsHeld.empty())
@@ -289,16 +293,16 @@
             slots.push_back(slotJson(slot, m_slots.assignment(slot)));
     }
     json decided = json::array();
-    for (const std::string& id : m_decidedOrder) {
+    for (const std::string& id : m_decidedIds) {
         const DecidedRecord& record = m_decided.at(id);
         decided.push_back(json::array({ id, record.offset, static_cast<uint8_t>(record.verdict) }));
     }
-    json whole = { { "format", snapshotFormat }, { "offset", m_offset }, { "snapshot_covers", m_snapshotCovers },
+    json stateJson = { { "format", snapshotFormat }, { "offset", m_offset }, { "snapshot_covers", m_snapshotCovers },
         { "claims", std::move(claims) }, { "leases", std::move(leases) }, { "slots", std::move(slots) },
         { "decided", std::move(decided) } };
     if (m_config)
-        whole["config"] = { { "version", m_config->version }, { "text", m_config->text } };
-    return base64Encode(json::to_msgpack(whole));
+        stateJson["config"] = { { "version", m_config->version }, { "text", m_config->text } };
+    return base64Encode(json::to_msgpack(stateJson));
 }
 
 void State::readSnapshot(std::string_view encoded)
@@ -306,25 +310,26 @@
     auto bytes = base64Decode(encoded);
     if (!bytes)
         throw DecodeFailure("snapshot is not valid base64");
-    json whole = json::from_msgpack(*bytes);
-    if (whole.at("format") != snapshotFormat)
+    json stateJson = json::from_msgpack(*bytes);
+    if (stateJson.at("format") != snapshotFormat)
         throw DecodeFailure("unknown snapshot format");
-    m_offset = wholeNumber<Offset>(whole.at("offset"));
-    m_snapshotCovers = wholeNumber<Offset>(whole.at("snapshot_covers"));
-    for (const json& claim : whole.at("claims"))
+    m_offset = unsignedFrom<Offset>(stateJson.at("offset"));
+    m_snapshotCovers = unsignedFrom<Offset>(stateJson.at("snapshot_covers"));
+    for (const json& claim : stateJson.at("claims"))
         insertClaim(claimFromSnapshot(claim));
-    for (const json& lease : whole.at("leases"))
+    for (const json& lease : stateJson.at("leases"))
         m_leases[lease.at(0).get<std::string>()]
-            = { wholeNumber<Offset>(lease.at(1)), nodeIdFrom(lease.at(2)), durationFrom(lease.at(3)) };
-    for (const json& slot : whole.at("slots"))
+            = { unsignedFrom<Offset>(lease.at(1)), nodeIdFrom(lease.at(2)), durationFrom(lease.at(3)) };
+    for (const json& slot : stateJson.at("slots"))
         restoreSlot(m_slots, slot);
-    for (const json& record : whole.at("decided"))
-        remember(record.at(0).get<std::string>(), { wholeNumber<Offset>(record.at(1)), verdictFrom(record.at(2)) });
-    if (!whole.contains("config"))
+    for (const json& record : stateJson.at("decided"))
+        rememberDecision(
+            record.at(0).get<std::string>(), { unsignedFrom<Offset>(record.at(1)), verdictFrom(record.at(2)) });
+    if (!stateJson.contains("config"))
         return;
-    const json& config = whole.at("config");
+    const json& config = stateJson.at("config");
     m_config
-        = parseAccepted(wholeNumber<Offset>(config.at("version")), config.at("text").get_ref<const std::string&>());
+        = parseAccepted(unsignedFrom<Offset>(config.at("version")), config.at("text").get_ref<const std::string&>());
     if (!m_config)
         throw DecodeFailure("snapshot has an operators' configuration that can't be parsed");
 }
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -58,7 +58,7 @@
 // Number of latest record ids that are kept to detect duplicates. They must cover the retries of one proposer: at 500
 // appends per second they cover 16 s. A later duplicate is still subject to the checks of its record kind. Only a claim
 // could pass them again, and only if its hosts are free, which wastes a claim but breaks nothing.
-constexpr size_t rememberedIds = 8192;
+constexpr size_t maxDecidedRecords = 8192;
 
 // The replicated state: the result of applying the log in order, which is deterministic and the same at the same offset
 // on every node.
@@ -101,10 +101,10 @@
     Verdict applyBody(const SlotsProposal&, Offset);
     Verdict applyBody(const SnapshotProposal&, Offset);
 
-    void remember(const std::string& id, DecidedRecord);
+    void rememberDecision(const std::string& id, DecidedRecord);
     void insertClaim(Claim);
-    bool replicaHeld(const ClaimProposal&) const;
-    void dropOvertakenAdoption();
+    bool isReplicaHeld(const ClaimProposal&) const;
+    void dropAppliedAdoption();
     void readSnapshot(std::string_view encoded);
 
     Offset m_offset = 0;
@@ -112,12 +112,12 @@
     // Adopted from a peer, ahead of the applied records; not part of the replicated state.
     std::shared_ptr<const AcceptedConfig> m_adopted;
     std::map<Offset, Claim> m_claims;
-    std::unordered_map<std::string, Offset> m_holders; // Maps each host to the claim that holds it.
-    std::unordered_map<std::string, Offset> m_replicas; // Maps "service/replica" to its Held claim.
+    std::unordered_map<std::string, Offset> m_claimByHost; // Maps each host to the claim that holds it.
+    std::unordered_map<std::string, Offset> m_claimByReplica; // Maps "service/replica" to its Held claim.
     std::map<std::string, HeldLease, std::less<>> m_leases;
     SlotTable m_slots;
     std::unordered_map<std::string, DecidedRecord> m_decided;
-    std::deque<std::string> m_decidedOrder; // The remembered ids, oldest first.
+    std::deque<std::string> m_decidedIds; // The remembered ids, oldest first.
     Offset m_snapshotCovers = 0;
 };
 
--- a/src/daemon/controllerloop.cpp
+++ b/src/daemon/controllerloop.cpp
@@ -89,7 +89,7 @@
 bool ControllerLoop::holdsLease() const
 {
     std::lock_guard lock(m_mutex);
-    return m_lease.held(monotonicNow()).has_value();
+    return m_lease.currentTenure(monotonicNow()).has_value();
 }
 
 void ControllerLoop::run()
@@ -115,7 +115,7 @@
         std::lock_guard lock(m_mutex);
         m_ended.prune(state.claims());
         ControllerInput input { state.config(), state.claims(), registry.views(), m_ended.times(), m_lease,
-            registry.watchingSince(), now };
+            registry.hostDataSince(), now };
         return reconcile(input, m_settings.decisions, placeWeighed);
     });
 }
@@ -134,7 +134,7 @@
     auto now = monotonicNow();
     if (std::holds_alternative<LeaseProposal>(record.body)) {
         std::lock_guard lock(m_mutex);
-        m_lease.sending(record.id, now);
+        m_lease.recordSend(record.id, now);
     }
     auto settled = settle([&] { return m_appender.propose(record, now + settleTimeout); });
     if (auto* error = std::get_if<Error>(&settled))
--- a/src/daemon/hosttracker.cpp
+++ b/src/daemon/hosttracker.cpp
@@ -42,19 +42,19 @@
 void HostTracker::probed(const EngineStatus& status)
 {
     std::lock_guard lock(m_mutex);
-    m_registry.answered(status.host, answerOf(status), status.readAt, monotonicNow());
+    m_registry.recordAnswer(status.host, answerOf(status), status.readAt, monotonicNow());
 }
 
 void HostTracker::unanswered(std::string_view host, MonotonicTime now)
 {
     std::lock_guard lock(m_mutex);
-    m_registry.unanswered(host, now);
+    m_registry.recordNoAnswer(host, now);
 }
 
 void HostTracker::ordered(std::string_view host, Offset claim, MonotonicTime now)
 {
     std::lock_guard lock(m_mutex);
-    m_registry.sending(host, claim, now);
+    m_registry.recordOrder(host, claim, now);
 }
 
 HostRegistry HostTracker::registry() const
--- a/src/daemon/snapshotloop.cpp
+++ b/src/daemon/snapshotloop.cpp
@@ -54,14 +54,14 @@
 bool SnapshotLoop::isDue() const
 {
     auto need = m_reader.snapshotNeed();
-    SnapshotDuty duty;
-    duty.retention = m_settings.retention;
-    duty.oldestNeededAge = need.oldestNeeded ? wallNow() - *need.oldestNeeded : Milliseconds(0);
-    duty.uncoveredExpired = need.uncoveredExpired;
-    duty.holdsLease = m_holdsLease();
-    duty.spread = m_settings.spread;
+    SnapshotConditions conditions;
+    conditions.retention = m_settings.retention;
+    conditions.oldestUncoveredAge = need.oldestNeeded ? wallNow() - *need.oldestNeeded : Milliseconds(0);
+    conditions.uncoveredExpired = need.uncoveredExpired;
+    conditions.holdsLease = m_holdsLease();
+    conditions.spread = m_settings.spread;
     bool isLong = m_reader.offset() - need.snapshotCovers >= m_settings.everyRecords;
-    return snapshotDue(duty) || (isLong && duty.holdsLease);
+    return isSnapshotDue(conditions) || (isLong && conditions.holdsLease);
 }
 
 void SnapshotLoop::append()
--- a/src/daemon/weighedplacer.cpp
+++ b/src/daemon/weighedplacer.cpp
@@ -19,7 +19,7 @@
     // Names on the controller's side, positions on the policy's.
     class ViewBuilder {
     public:
-        explicit ViewBuilder(const PlacementQuestion& question)
+        explicit ViewBuilder(const PlacementRequest& question)
         {
             for (const auto& service : question.text.services)
                 addService(service);
@@ -28,7 +28,7 @@
             m_view.zones = static_cast<uint32_t>(m_zones.size());
         }
 
-        void addEveryReplica(const PlacementQuestion& question)
+        void addEveryReplica(const PlacementRequest& question)
         {
             for (const auto& [offset, claim] : question.claims)
                 addReplica(claim.proposal);
@@ -72,7 +72,7 @@
         std::map<std::string, uint32_t> m_zones;
     };
 
-    std::optional<Placement> place(const PlacementQuestion& question)
+    std::optional<Placement> place(const PlacementRequest& question)
     {
         ViewBuilder builder(question);
         builder.addEveryReplica(question);
@@ -84,7 +84,7 @@
 
     // The policy may pick any replica it sees, so it sees those that can be moved and no others. The spread over
     // domains and zones is weighed without the rest, which matters little for a replica that has to move.
-    std::optional<ReplicaMove> move(const MoveQuestion& question)
+    std::optional<ReplicaMove> move(const MoveRequest& question)
     {
         ViewBuilder builder(question.wanted);
         for (const Claim* claim : question.movable)
--- a/src/tool/benchfamilies.cpp
+++ b/src/tool/benchfamilies.cpp
@@ -46,7 +46,7 @@
         BenchTable table { "coordination: bytes of the agreed state",
             { "replicas", "hosts each", "slots", "claim record", "snapshot", "records of a snapshot" }, {} };
         for (const CoordinationSize& size : states(options)) {
-            CoordinationFigures figures = coordinationFigures(size);
+            CoordinationFigures figures = measureCoordination(size);
             table.rows.push_back({ std::to_string(size.replicas), std::to_string(size.hostsPerReplica),
                 std::to_string(size.slots), std::to_string(figures.claimRecordBytes),
                 std::to_string(figures.snapshotBytes), std::to_string(figures.snapshotRecords) });
@@ -74,12 +74,12 @@
             "round, settled ms", "round, empty ms", "round, domain dark ms" },
         {} };
     for (const CoordinationSize& size : states(options)) {
-        CoordinationFigures figures = coordinationFigures(size);
+        CoordinationFigures figures = measureCoordination(size);
         table.rows.push_back({ std::to_string(size.replicas), std::to_string(size.hostsPerReplica),
-            fmt::format("{:.0f}", figures.recordsPerSecond), fmt::format("{:.0f}", figures.foldsPerSecond),
+            fmt::format("{:.0f}", figures.recordsPerSecond), fmt::format("{:.0f}", figures.appliesPerSecond),
             milliseconds(figures.snapshotSeconds), milliseconds(figures.restoreSeconds),
-            milliseconds(figures.copySeconds), milliseconds(figures.reconcileSettledSeconds),
-            milliseconds(figures.reconcileEmptySeconds), milliseconds(figures.reconcileDarkDomainSeconds) });
+            milliseconds(figures.copySeconds), milliseconds(figures.reconcileUnchangedSeconds),
+            milliseconds(figures.reconcileAllMissingSeconds), milliseconds(figures.reconcileFailedDomainSeconds) });
     }
     return { table, benchPlanner() };
 }
--- a/tests/coordination/controller_test.cpp
+++ b/tests/coordination/controller_test.cpp
@@ -15,11 +15,11 @@
         HostDies,
         HostIsReplaced,
         HostLeaves,
-        DomainGoesDark,
+        DomainFails,
         ControllerPauses,
         ControllerRestarts,
-        ControllerIsCutOff,
-        ControllerLosesOneHost,
+        ControllerIsDisconnected,
+        ControllerCannotReachOneHost,
         ListLags,
         ModelChanges,
         ReplicasChange,
@@ -41,7 +41,7 @@
     rc::Gen<std::vector<FaultAt>> anyFaults()
     {
         auto fault = rc::gen::map(rc::gen::tuple(rc::gen::inRange<int>(0, int(Fault::Count)),
-                                      rc::gen::inRange<uint8_t>(0, worldHosts), rc::gen::inRange<uint8_t>(0, 40)),
+                                      rc::gen::inRange<uint8_t>(0, simulationHosts), rc::gen::inRange<uint8_t>(0, 40)),
             [](auto drawn) {
                 return FaultAt { Fault(std::get<0>(drawn)), std::get<1>(drawn), std::get<2>(drawn) };
             });
@@ -57,10 +57,10 @@
         engine = fresh;
     }
 
-    void inject(ControllerWorld& world, const FaultAt& fault)
+    void inject(ControllerSimulation& simulation, const FaultAt& fault)
     {
-        FakeEngine& engine = world.engines.at(fmt::format("h{}", fault.target));
-        FakeController& controller = world.controllers[fault.target % 2];
+        FakeEngine& engine = simulation.engines.at(fmt::format("h{}", fault.target));
+        FakeController& controller = simulation.controllers[fault.target % 2];
         switch (fault.fault) {
         case Fault::HostDies:
             engine.alive = false;
@@ -71,72 +71,72 @@
         case Fault::HostLeaves:
             engine.leaving = true;
             break;
-        case Fault::DomainGoesDark:
-            for (auto& [name, other] : world.engines)
+        case Fault::DomainFails:
+            for (auto& [name, other] : simulation.engines)
                 other.alive = other.alive && other.domain != engine.domain;
             break;
         case Fault::ControllerPauses:
-            controller.pausedUntil = world.now + Milliseconds(fault.target * 2000);
+            controller.pausedUntil = simulation.now + Milliseconds(fault.target * 2000);
             break;
         case Fault::ControllerRestarts:
-            world.restart(controller);
+            simulation.restart(controller);
             break;
-        case Fault::ControllerIsCutOff:
-            controller.cutOffFrom.clear();
-            controller.cutOffUntil = world.now + Milliseconds(fault.target * 4000);
+        case Fault::ControllerIsDisconnected:
+            controller.disconnectedHost.clear();
+            controller.disconnectedUntil = simulation.now + Milliseconds(fault.target * 4000);
             break;
-        case Fault::ControllerLosesOneHost:
-            controller.cutOffFrom = fmt::format("h{}", fault.target);
-            controller.cutOffUntil = world.now + 20s;
+        case Fault::ControllerCannotReachOneHost:
+            controller.disconnectedHost = fmt::format("h{}", fault.target);
+            controller.disconnectedUntil = simulation.now + 20s;
             break;
         case Fault::ListLags:
             controller.listLag = Milliseconds(fault.target * 250);
             break;
         case Fault::ModelChanges:
-            world.text().services[fault.target % 2].modelVersion += "x";
+            simulation.text().services[fault.target % 2].modelVersion += "x";
             break;
         case Fault::ReplicasChange:
-            world.text().services[0].replicas = 1 + fault.target % 2;
+            simulation.text().services[0].replicas = 1 + fault.target % 2;
             break;
         case Fault::Count:
             break;
         }
     }
 
-    void heal(ControllerWorld& world)
+    void removeFaults(ControllerSimulation& simulation)
     {
-        world.lossy = false;
-        for (auto& [name, engine] : world.engines) {
+        simulation.lossy = false;
+        for (auto& [name, engine] : simulation.engines) {
             if (!engine.alive || engine.leaving)
                 replace(engine);
         }
-        for (FakeController& controller : world.controllers)
+        for (FakeController& controller : simulation.controllers)
             controller.listLag = {};
     }
 
     // Injects the faults, then runs without faults until the deployment should be stable. Returns the problems found.
-    std::vector<std::string> runFaults(ControllerWorld& world, const std::vector<FaultAt>& faults)
+    std::vector<std::string> runFaults(ControllerSimulation& simulation, const std::vector<FaultAt>& faults)
     {
         for (const FaultAt& fault : faults) {
-            inject(world, fault);
+            inject(simulation, fault);
             for (int i = 0; i < fault.steps; ++i)
-                world.step();
+                simulation.step();
         }
-        heal(world);
-        constexpr int quietSteps = 400;
-        constexpr int stillSteps = 100;
-        for (int i = 0; i < quietSteps; ++i)
-            world.step();
-        size_t settledAt = world.log.size();
-        for (int i = 0; i < stillSteps; ++i)
-            world.step();
-        auto problems = world.violations;
-        for (size_t i = settledAt; i < world.log.size(); ++i) {
-            if (!std::holds_alternative<LeaseProposal>(world.log[i].record.body))
+        removeFaults(simulation);
+        constexpr int recoverySteps = 400;
+        constexpr int stableSteps = 100;
+        for (int i = 0; i < recoverySteps; ++i)
+            simulation.step();
+        size_t stableLogSize = simulation.log.size();
+        for (int i = 0; i < stableSteps; ++i)
+            simulation.step();
+        auto problems = simulation.violations;
+        for (size_t i = stableLogSize; i < simulation.log.size(); ++i) {
+            if (!std::holds_alternative<LeaseProposal>(simulation.log[i].record.body))
                 problems.emplace_back("records are still appended after the deployment should be stable");
         }
-        for (const ServiceText& service : world.text().services) {
-            size_t ready = world.readyReplicas(service);
+        for (const ServiceText& service : simulation.text().services) {
+            size_t ready = simulation.readyReplicas(service);
             if (ready != service.replicas)
                 problems.push_back(
                     fmt::format("{}: {} of {} replicas are ready", service.name, ready, service.replicas));
@@ -165,275 +165,276 @@
     }
 
     constexpr int tightHosts = 9;
-    constexpr uint64_t worldsPerCase = 3;
+    constexpr uint64_t simulationsPerCase = 3;
 
-    RC_GTEST_PROP(ControllerFaults, EnginesThatCheckFencingEndUpWithEveryWantedReplica, (uint32_t seed))
+    RC_GTEST_PROP(ControllerFaults, EnginesThatCheckFencingReachEveryWantedReplica, (uint32_t seed))
     {
         auto faults = *anyFaults();
-        for (uint64_t i = 0; i < worldsPerCase; ++i) {
-            ControllerWorld world(seed + i, twoServices(FencingSupport::Checked));
-            reportFirst(runFaults(world, faults));
+        for (uint64_t i = 0; i < simulationsPerCase; ++i) {
+            ControllerSimulation simulation(seed + i, twoServices(FencingSupport::Checked));
+            reportFirst(runFaults(simulation, faults));
         }
     }
 
-    RC_GTEST_PROP(ControllerFaults, AReplicaThatOnlyAMoveMakesRoomForIsPlacedInTheEnd, (uint32_t seed))
+    RC_GTEST_PROP(ControllerFaults, ReplicaThatNeedsAMoveIsPlaced, (uint32_t seed))
     {
         auto faults = *anyFaults();
         bool checked = *rc::gen::arbitrary<bool>();
-        for (uint64_t i = 0; i < worldsPerCase; ++i) {
+        for (uint64_t i = 0; i < simulationsPerCase; ++i) {
             auto fencing = checked ? FencingSupport::Checked : FencingSupport::Ignored;
-            ControllerWorld world(seed + i, tightServices(fencing), tightHosts);
-            for (auto& [name, engine] : world.engines)
+            ControllerSimulation simulation(seed + i, tightServices(fencing), tightHosts);
+            for (auto& [name, engine] : simulation.engines)
                 engine.checksFencing = checked;
-            reportFirst(runFaults(world, faults));
+            reportFirst(runFaults(simulation, faults));
         }
     }
 
-    RC_GTEST_PROP(ControllerFaults, EnginesThatIgnoreFencingNeverGoBackToAnOlderClaim, (uint32_t seed))
+    RC_GTEST_PROP(ControllerFaults, EnginesThatIgnoreFencingGetNoOrderOfAnOlderClaim, (uint32_t seed))
     {
         auto faults = *anyFaults();
-        for (uint64_t i = 0; i < worldsPerCase; ++i) {
-            ControllerWorld world(seed + i, twoServices(FencingSupport::Ignored));
-            for (auto& [name, engine] : world.engines)
+        for (uint64_t i = 0; i < simulationsPerCase; ++i) {
+            ControllerSimulation simulation(seed + i, twoServices(FencingSupport::Ignored));
+            for (auto& [name, engine] : simulation.engines)
                 engine.checksFencing = false;
-            reportFirst(runFaults(world, faults));
+            reportFirst(runFaults(simulation, faults));
         }
     }
 
-    TEST(Controller, DoesNothingWithoutTheLeaseOrWithoutAText)
+    TEST(Controller, DoesNothingWithoutLeaseOrConfiguration)
     {
-        Scene scene;
-        scene.host("a");
-        scene.host("b");
-        EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
-        scene.config.parsed.services.clear();
-        scene.claim("r0", { "c", "d" });
-        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u);
-        scene.pass(59s);
-        ASSERT_EQ(scene.actions().size(), 1u);
-        EXPECT_TRUE(std::holds_alternative<LeaseProposal>(scene.actions().front()));
-        scene.pass(-59s);
-        auto withoutText = reconcile({ nullptr, scene.state.claims(), scene.hosts, {}, scene.lease, {}, scene.now },
-            scene.settings, scene.rules);
+        ControllerFixture fixture;
+        fixture.host("a");
+        fixture.host("b");
+        EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
+        fixture.config.parsed.services.clear();
+        fixture.claim("r0", { "c", "d" });
+        EXPECT_EQ(fixture.all<ClaimEndProposal>().size(), 1u);
+        fixture.advance(59s);
+        ASSERT_EQ(fixture.actions().size(), 1u);
+        EXPECT_TRUE(std::holds_alternative<LeaseProposal>(fixture.actions().front()));
+        fixture.advance(-59s);
+        auto withoutText
+            = reconcile({ nullptr, fixture.state.claims(), fixture.hosts, {}, fixture.lease, {}, fixture.now },
+                fixture.settings, fixture.rules);
         EXPECT_TRUE(withoutText.empty());
     }
 
-    TEST(Controller, AnEngineThatIgnoresFencingGetsNoOrderOutsideASafeTime)
+    TEST(Controller, EngineThatIgnoresFencingGetsOrdersOnlyWithinTheTenure)
     {
-        Scene scene;
-        scene.service().fencing = FencingSupport::Ignored;
-        Offset claim = scene.claim("r0", { "a", "b" });
-        HostView& host = scene.hosts["a"];
+        ControllerFixture fixture;
+        fixture.service().fencing = FencingSupport::Ignored;
+        Offset claim = fixture.claim("r0", { "a", "b" });
+        HostView& host = fixture.hosts["a"];
         host.phase = EnginePhase::Idle;
         host.claim = 0;
-        EXPECT_EQ(scene.orders(), Lines { "load a" });
-        EXPECT_EQ(scene.all<HostOrder>().front().sendBefore, scene.now + 60s - 1s - scene.settings.orderFlight);
-        host.statusAt = scene.now - 1s;
-        EXPECT_EQ(scene.orders(), Lines {}) << "status from before this node's tenure";
-        host.statusAt = scene.now;
-        host.lastOrder = SentOrder { claim - 1, scene.now - 1s };
-        EXPECT_EQ(scene.orders(), Lines {}) << "an order of this node for another claim may still arrive";
-        host.lastOrder = SentOrder { claim, scene.now - 1s };
-        EXPECT_EQ(scene.orders(), Lines { "load a" }) << "orders of the same claim may be repeated";
-        scene.pass(58s);
-        EXPECT_EQ(scene.orders(), Lines {}) << "the order could arrive after the lease ended";
+        EXPECT_EQ(fixture.orders(), Lines { "load a" });
+        EXPECT_EQ(fixture.all<HostOrder>().front().sendBefore, fixture.now + 60s - 1s - fixture.settings.maxOrderDelay);
+        host.statusAt = fixture.now - 1s;
+        EXPECT_EQ(fixture.orders(), Lines {}) << "status from before this node's tenure";
+        host.statusAt = fixture.now;
+        host.lastOrder = SentOrder { claim - 1, fixture.now - 1s };
+        EXPECT_EQ(fixture.orders(), Lines {}) << "an order of this node for another claim may still arrive";
+        host.lastOrder = SentOrder { claim, fixture.now - 1s };
+        EXPECT_EQ(fixture.orders(), Lines { "load a" }) << "orders of the same claim may be repeated";
+        fixture.advance(58s);
+        EXPECT_EQ(fixture.orders(), Lines {}) << "the order could arrive after the lease ended";
     }
 
-    TEST(Controller, AnEngineThatIgnoresFencingIsEmptiedBeforeItLoads)
+    TEST(Controller, EngineThatIgnoresFencingIsUnloadedBeforeItLoads)
     {
-        Scene scene;
-        scene.service().fencing = FencingSupport::Ignored;
-        Offset claim = scene.claim("r0", { "a", "b" });
-        scene.hosts["a"].claim = claim - 1;
-        EXPECT_EQ(scene.orders(), Lines { "unload a" });
-        scene.service().fencing = FencingSupport::Checked;
-        EXPECT_EQ(scene.orders(), Lines { "load a" });
-        scene.hosts["a"].claim = claim + 1;
-        EXPECT_EQ(scene.orders(), Lines {}) << "this node has not yet read the newer claim";
+        ControllerFixture fixture;
+        fixture.service().fencing = FencingSupport::Ignored;
+        Offset claim = fixture.claim("r0", { "a", "b" });
+        fixture.hosts["a"].claim = claim - 1;
+        EXPECT_EQ(fixture.orders(), Lines { "unload a" });
+        fixture.service().fencing = FencingSupport::Checked;
+        EXPECT_EQ(fixture.orders(), Lines { "load a" });
+        fixture.hosts["a"].claim = claim + 1;
+        EXPECT_EQ(fixture.orders(), Lines {}) << "this node has not yet read the newer claim";
     }
 
-    TEST(Controller, HostsAreUnloadedWhenDrainedAndFreedWhenTheySaySo)
+    TEST(Controller, HostsAreUnloadedWhenDrainedAndFreedWhenIdle)
     {
-        Scene scene;
-        scene.service().replicas = 0;
-        Offset claim = scene.claim("r0", { "a", "b" });
-        EXPECT_EQ(scene.all<ClaimEndProposal>().front().reason, "scale_down");
-        scene.end(claim);
-        scene.hosts["a"].requests = 1;
-        EXPECT_EQ(scene.orders(), Lines {});
-        scene.hosts["a"].requests = 0;
-        EXPECT_EQ(scene.orders(), (Lines { "unload a", "unload b" }));
-        EXPECT_TRUE(scene.all<HostsFreedProposal>().empty());
-        scene.endedAt[claim] = scene.now - 1s;
-        EXPECT_EQ(scene.orders(), Lines {}) << "another node may not have read the end yet";
-        scene.hosts["b"].phase = EnginePhase::Idle;
-        auto freed = scene.all<HostsFreedProposal>();
+        ControllerFixture fixture;
+        fixture.service().replicas = 0;
+        Offset claim = fixture.claim("r0", { "a", "b" });
+        EXPECT_EQ(fixture.all<ClaimEndProposal>().front().reason, "scale_down");
+        fixture.end(claim);
+        fixture.hosts["a"].requests = 1;
+        EXPECT_EQ(fixture.orders(), Lines {});
+        fixture.hosts["a"].requests = 0;
+        EXPECT_EQ(fixture.orders(), (Lines { "unload a", "unload b" }));
+        EXPECT_TRUE(fixture.all<HostsFreedProposal>().empty());
+        fixture.endedAt[claim] = fixture.now - 1s;
+        EXPECT_EQ(fixture.orders(), Lines {}) << "another node may not have read the end yet";
+        fixture.hosts["b"].phase = EnginePhase::Idle;
+        auto freed = fixture.all<HostsFreedProposal>();
         ASSERT_EQ(freed.size(), 1u);
         EXPECT_EQ(freed.front().hosts, Lines { "b" });
-        scene.service().fencing = FencingSupport::Ignored;
-        scene.hosts["b"].lastOrder = SentOrder { claim, scene.now - 1s };
-        EXPECT_TRUE(scene.all<HostsFreedProposal>().empty()) << "a load order of the claim may still arrive";
+        fixture.service().fencing = FencingSupport::Ignored;
+        fixture.hosts["b"].lastOrder = SentOrder { claim, fixture.now - 1s };
+        EXPECT_TRUE(fixture.all<HostsFreedProposal>().empty()) << "a load order of the claim may still arrive";
     }
 
-    TEST(Controller, AHostNobodyCanAskIsGivenTheTimeOfARequest)
+    TEST(Controller, UnreachableHostCountsAsDrainedAfterTheLongestRequest)
     {
-        Scene scene;
-        Offset claim = scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        scene.end(claim);
-        scene.hosts["a"].answering = false;
-        scene.hosts["a"].answeringSince = scene.now - 30s;
-        scene.endedAt[claim] = scene.now - 30s;
-        EXPECT_EQ(scene.orders(), Lines {});
-        scene.endedAt[claim] = scene.now - scene.settings.longestRequest;
-        EXPECT_EQ(scene.orders(), Lines { "unload b" });
-        EXPECT_TRUE(scene.all<HostsFreedProposal>().empty());
+        ControllerFixture fixture;
+        Offset claim = fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        fixture.end(claim);
+        fixture.hosts["a"].answering = false;
+        fixture.hosts["a"].answeringSince = fixture.now - 30s;
+        fixture.endedAt[claim] = fixture.now - 30s;
+        EXPECT_EQ(fixture.orders(), Lines {});
+        fixture.endedAt[claim] = fixture.now - fixture.settings.maxRequestTime;
+        EXPECT_EQ(fixture.orders(), Lines { "unload b" });
+        EXPECT_TRUE(fixture.all<HostsFreedProposal>().empty());
     }
 
     TEST(Controller, EndsAClaimForADeadReplacedMissingOrLeavingHostButNotForAFlappingOne)
     {
-        Scene scene;
-        scene.service().replicas = 2;
-        Offset claim = scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        HostView& host = scene.hosts["a"];
-        const HostView well = host;
-        EXPECT_EQ(endReason(scene), "");
+        ControllerFixture fixture;
+        fixture.service().replicas = 2;
+        Offset claim = fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        HostView& host = fixture.hosts["a"];
+        const HostView healthyView = host;
+        EXPECT_EQ(endReason(fixture), "");
         host.answering = false;
-        host.answeringSince = scene.now - 1s;
-        EXPECT_EQ(endReason(scene), "") << "the host missed only a few probes";
-        host.answeringSince = scene.now - scene.settings.silentGrace;
-        EXPECT_EQ(endReason(scene), "host_missing");
-        host.answeringSince = scene.now - 1s;
+        host.answeringSince = fixture.now - 1s;
+        EXPECT_EQ(endReason(fixture), "") << "the host missed only a few probes";
+        host.answeringSince = fixture.now - fixture.settings.unresponsiveTimeout;
+        EXPECT_EQ(endReason(fixture), "host_missing");
+        host.answeringSince = fixture.now - 1s;
         host.listed = false;
-        host.listedSince = scene.now - 1s;
-        EXPECT_EQ(endReason(scene), "") << "the lists of two nodes may differ for a while";
-        host.listedSince = scene.now - scene.settings.goneGrace;
-        EXPECT_EQ(endReason(scene), "host_dead");
-        host = well;
+        host.listedSince = fixture.now - 1s;
+        EXPECT_EQ(endReason(fixture), "") << "the lists of two nodes may differ for a while";
+        host.listedSince = fixture.now - fixture.settings.unlistedTimeout;
+        EXPECT_EQ(endReason(fixture), "host_dead");
+        host = healthyView;
         host.leaving = true;
-        EXPECT_EQ(endReason(scene), "host_leaving");
-        host = well;
+        EXPECT_EQ(endReason(fixture), "host_leaving");
+        host = healthyView;
         host.incarnation = 2;
-        EXPECT_EQ(endReason(scene), "host_dead");
-        scene.end(claim);
-        ASSERT_EQ(scene.all<HostsFreedProposal>().size(), 1u);
-        EXPECT_EQ(scene.all<HostsFreedProposal>().front().because, FreedBecause::HostDead);
+        EXPECT_EQ(endReason(fixture), "host_dead");
+        fixture.end(claim);
+        ASSERT_EQ(fixture.all<HostsFreedProposal>().size(), 1u);
+        EXPECT_EQ(fixture.all<HostsFreedProposal>().front().because, FreedReason::HostDead);
     }
 
-    TEST(Controller, ANodeThatMostHostsDoNotAnswerDoubtsItself)
+    TEST(Controller, DisconnectedNodeEndsNoClaimsAndRenewsNoLease)
     {
-        Scene scene;
-        scene.service().replicas = 2;
-        scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        for (auto& [name, host] : scene.hosts) {
+        ControllerFixture fixture;
+        fixture.service().replicas = 2;
+        fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        for (auto& [name, host] : fixture.hosts) {
             host.answering = name == "a";
-            host.answeringSince = scene.now - 1h;
+            host.answeringSince = fixture.now - 1h;
         }
-        scene.pass(25s);
-        EXPECT_TRUE(scene.actions().empty()) << "it neither ends claims nor renews its lease";
-        scene.hosts["b"].answering = true;
-        scene.pass(0s);
-        EXPECT_EQ(endReason(scene), "host_missing");
-        EXPECT_EQ(scene.all<LeaseProposal>().size(), 1u);
-        scene.hosts.clear();
-        EXPECT_TRUE(scene.actions().empty()) << "a node without a list does not judge any host dead";
+        fixture.advance(25s);
+        EXPECT_TRUE(fixture.actions().empty()) << "it neither ends claims nor renews its lease";
+        fixture.hosts["b"].answering = true;
+        fixture.advance(0s);
+        EXPECT_EQ(endReason(fixture), "host_missing");
+        EXPECT_EQ(fixture.all<LeaseProposal>().size(), 1u);
+        fixture.hosts.clear();
+        EXPECT_TRUE(fixture.actions().empty()) << "a node without a list does not judge any host dead";
     }
 
-    TEST(Controller, AHostThatWasNeverAskedIsNotLongSilent)
+    TEST(Controller, UnprobedHostIsNotUnreachable)
     {
-        Scene scene;
-        scene.service().replicas = 2;
-        scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        scene.hosts["a"] = {};
-        scene.hosts["a"].listed = true;
-        scene.hosts["a"].listedIncarnation = 1;
-        scene.watchingSince = scene.now - 1s;
-        EXPECT_EQ(endReason(scene), "");
-        scene.hosts["a"].listed = false;
-        EXPECT_EQ(endReason(scene), "");
-        scene.hosts.erase("a");
-        EXPECT_EQ(endReason(scene), "");
-        scene.watchingSince = scene.now - scene.settings.goneGrace;
-        EXPECT_EQ(endReason(scene), "host_dead");
+        ControllerFixture fixture;
+        fixture.service().replicas = 2;
+        fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        fixture.hosts["a"] = {};
+        fixture.hosts["a"].listed = true;
+        fixture.hosts["a"].listedIncarnation = 1;
+        fixture.hostDataSince = fixture.now - 1s;
+        EXPECT_EQ(endReason(fixture), "");
+        fixture.hosts["a"].listed = false;
+        EXPECT_EQ(endReason(fixture), "");
+        fixture.hosts.erase("a");
+        EXPECT_EQ(endReason(fixture), "");
+        fixture.hostDataSince = fixture.now - fixture.settings.unlistedTimeout;
+        EXPECT_EQ(endReason(fixture), "host_dead");
     }
 
-    TEST(Controller, AnAnswerThatNobodyRenewsIsNone)
+    TEST(Controller, OutdatedStatusIsIgnored)
     {
-        Scene scene;
-        scene.service().replicas = 2;
-        scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        HostView& host = scene.hosts["a"];
+        ControllerFixture fixture;
+        fixture.service().replicas = 2;
+        fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        HostView& host = fixture.hosts["a"];
         host.listed = false; // A host that is not listed is not probed any more.
-        host.statusAt = scene.now - scene.settings.statusLifetime;
-        EXPECT_EQ(endReason(scene), "");
+        host.statusAt = fixture.now - fixture.settings.statusLifetime;
+        EXPECT_EQ(endReason(fixture), "");
         host.statusAt -= 1ms;
-        EXPECT_EQ(endReason(scene), "host_dead");
+        EXPECT_EQ(endReason(fixture), "host_dead");
         host.listed = true;
-        EXPECT_EQ(endReason(scene), "");
-        host.statusAt = scene.now - scene.settings.silentGrace;
-        EXPECT_EQ(endReason(scene), "host_missing");
+        EXPECT_EQ(endReason(fixture), "");
+        host.statusAt = fixture.now - fixture.settings.unresponsiveTimeout;
+        EXPECT_EQ(endReason(fixture), "host_missing");
     }
 
-    TEST(Controller, ClaimsOnlySteadyHostsOfOneLifeInOneDomain)
+    TEST(Controller, ClaimsOnlySteadyHostsOfTheListedIncarnationInOneDomain)
     {
-        Scene scene;
-        scene.host("a");
-        scene.host("b");
-        scene.host("c", "d2");
-        ASSERT_EQ(scene.all<ClaimProposal>().size(), 1u);
-        EXPECT_EQ(scene.all<ClaimProposal>().front().hosts, (Lines { "a", "b" }));
-        scene.host("b").incarnation = 2;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the list does not have this incarnation yet";
-        scene.host("b").answeringSince = scene.now;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the host has not answered for long enough";
-        scene.host("b").answeringSince = {};
+        ControllerFixture fixture;
+        fixture.host("a");
+        fixture.host("b");
+        fixture.host("c", "d2");
+        ASSERT_EQ(fixture.all<ClaimProposal>().size(), 1u);
+        EXPECT_EQ(fixture.all<ClaimProposal>().front().hosts, (Lines { "a", "b" }));
+        fixture.host("b").incarnation = 2;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the list does not have this incarnation yet";
+        fixture.host("b").answeringSince = fixture.now;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the host has not answered for long enough";
+        fixture.host("b").answeringSince = {};
         for (Placement bad : { Placement { "d1", { "a", "a" } }, Placement { "d1", { "a", "c" } },
                  Placement { "d1", { "a" } }, Placement { "d9", { "a", "b" } } }) {
-            scene.rules.place = [&](const PlacementQuestion&) { return bad; };
-            EXPECT_TRUE(scene.all<ClaimProposal>().empty());
+            fixture.rules.place = [&](const PlacementRequest&) { return bad; };
+            EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
         }
     }
 
-    TEST(Controller, AVersionChangeRollsOverFreeHostsOrAFewAtATime)
+    TEST(Controller, VersionChangeUsesFreeHostsOrEndsAFewReplicasAtATime)
     {
-        Scene scene;
-        scene.service().replicas = 2;
-        scene.service().modelVersion = "2";
-        scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u) << "without free hosts one outdated replica has to end";
-        scene.host("e");
-        scene.host("f");
-        EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
-        scene.claim("r2", { "e", "f" }, "2");
-        scene.hosts["e"].phase = EnginePhase::Loading;
-        EXPECT_TRUE(scene.all<ClaimEndProposal>().empty()) << "the new replica is not ready";
-        scene.hosts["e"].phase = EnginePhase::Ready;
-        EXPECT_EQ(scene.all<ClaimEndProposal>().size(), 1u) << "one of the two outdated replicas is surplus";
+        ControllerFixture fixture;
+        fixture.service().replicas = 2;
+        fixture.service().modelVersion = "2";
+        fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        EXPECT_EQ(fixture.all<ClaimEndProposal>().size(), 1u) << "without free hosts one outdated replica has to end";
+        fixture.host("e");
+        fixture.host("f");
+        EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
+        fixture.claim("r2", { "e", "f" }, "2");
+        fixture.hosts["e"].phase = EnginePhase::Loading;
+        EXPECT_TRUE(fixture.all<ClaimEndProposal>().empty()) << "the new replica is not ready";
+        fixture.hosts["e"].phase = EnginePhase::Ready;
+        EXPECT_EQ(fixture.all<ClaimEndProposal>().size(), 1u) << "one of the two outdated replicas is surplus";
     }
 
-    TEST(Controller, LoadsArePacedAndDependenciesGoFirst)
+    TEST(Controller, LoadsAreLimitedAndDependenciesGoFirst)
     {
-        Scene scene;
-        scene.service().replicas = 3;
-        scene.claim("r0", { "a", "b" });
-        scene.claim("r1", { "c", "d" });
-        scene.claim("r2", { "e", "f" });
-        for (auto& [name, host] : scene.hosts)
+        ControllerFixture fixture;
+        fixture.service().replicas = 3;
+        fixture.claim("r0", { "a", "b" });
+        fixture.claim("r1", { "c", "d" });
+        fixture.claim("r2", { "e", "f" });
+        for (auto& [name, host] : fixture.hosts)
             host.phase = EnginePhase::Idle;
-        scene.settings.hostsLoadingAtOnce = 3;
-        EXPECT_EQ(scene.orders(), (Lines { "load a", "load b" }));
-        scene.hosts["e"].phase = EnginePhase::Loading;
-        EXPECT_EQ(scene.orders(), (Lines { "load a", "load b", "load f" })) << "a load that has started is completed";
-        scene.hosts["a"].answering = false;
-        scene.hosts["a"].answeringSince = scene.now;
-        EXPECT_EQ(scene.orders(), (Lines { "load c", "load d", "load f" })) << "a host of r0 does not answer";
-
-        Scene two;
+        fixture.settings.maxLoadingHosts = 3;
+        EXPECT_EQ(fixture.orders(), (Lines { "load a", "load b" }));
+        fixture.hosts["e"].phase = EnginePhase::Loading;
+        EXPECT_EQ(fixture.orders(), (Lines { "load a", "load b", "load f" })) << "a load that has started is completed";
+        fixture.hosts["a"].answering = false;
+        fixture.hosts["a"].answeringSince = fixture.now;
+        EXPECT_EQ(fixture.orders(), (Lines { "load c", "load d", "load f" })) << "a host of r0 does not answer";
+
+        ControllerFixture two;
         two.host("a");
         two.host("b");
         ServiceText first = modelService("zebra", 1, FencingSupport::Checked);
--- a/tests/coordination/controllermove_test.cpp
+++ b/tests/coordination/controllermove_test.cpp
@@ -9,40 +9,40 @@
     using namespace Testing;
 
     // Nine hosts, four of them in d1: a replica of four hosts fits only if the small replicas share one domain.
-    ControllerWorld tightWorld(uint64_t seed)
+    ControllerSimulation tightSimulation(uint64_t seed)
     {
         ServiceText large = modelService("writers", 0, FencingSupport::Checked);
         large.hostsPerReplica = 4;
         constexpr int hosts = 9;
-        ControllerWorld world(seed, { modelService("desk", 2, FencingSupport::Checked), large }, hosts);
-        world.lossy = false;
-        return world;
+        ControllerSimulation simulation(seed, { modelService("desk", 2, FencingSupport::Checked), large }, hosts);
+        simulation.lossy = false;
+        return simulation;
     }
 
-    void run(ControllerWorld& world, int steps)
+    void run(ControllerSimulation& simulation, int steps)
     {
         for (int i = 0; i < steps; ++i)
-            world.step();
+            simulation.step();
     }
 
-    TEST(ControllerMoves, ALargeReplicaThatFitsNowhereIsPlacedOnceASmallOneHasMoved)
+    TEST(ControllerMoves, LargeReplicaIsPlacedAfterASmallOneMoved)
     {
-        ControllerWorld world = tightWorld(1);
+        ControllerSimulation simulation = tightSimulation(1);
         // One small replica in each domain, which leaves two free hosts in d1 and three in d2.
-        world.engines.at("h2").alive = world.engines.at("h3").alive = false;
-        run(world, 20);
-        world.engines.at("h2").alive = world.engines.at("h3").alive = true;
-        ASSERT_EQ(world.readyReplicas(world.text().services[0]), 2u);
-        world.text().services[1].replicas = 1;
-        run(world, 60);
-        EXPECT_EQ(world.readyReplicas(world.text().services[1]), 1u);
-        EXPECT_EQ(world.readyReplicas(world.text().services[0]), 2u);
-        EXPECT_EQ(world.violations, Lines {});
+        simulation.engines.at("h2").alive = simulation.engines.at("h3").alive = false;
+        run(simulation, 20);
+        simulation.engines.at("h2").alive = simulation.engines.at("h3").alive = true;
+        ASSERT_EQ(simulation.readyReplicas(simulation.text().services[0]), 2u);
+        simulation.text().services[1].replicas = 1;
+        run(simulation, 60);
+        EXPECT_EQ(simulation.readyReplicas(simulation.text().services[1]), 1u);
+        EXPECT_EQ(simulation.readyReplicas(simulation.text().services[0]), 2u);
+        EXPECT_EQ(simulation.violations, Lines {});
     }
 
     // A ready replica of two hosts in d1, two free hosts in d1 and two in d2; a replica of four hosts is missing.
-    struct MoveScene : Scene {
-        MoveScene()
+    struct MoveFixture : ControllerFixture {
+        MoveFixture()
         {
             ServiceText large = modelService("desk", 1, FencingSupport::Checked);
             large.hostsPerReplica = 4;
@@ -55,14 +55,14 @@
         }
 
         // Applies the proposed move; its hosts stay idle.
-        Offset begin()
+        Offset beginMove()
         {
             auto claims = all<ClaimProposal>();
             EXPECT_EQ(claims.size(), 1u);
             return claims.empty() ? 0 : fold("move", claims.front());
         }
 
-        void obey(Offset claim, EnginePhase phase)
+        void setEngineState(Offset claim, EnginePhase phase)
         {
             for (const std::string& name : state.claims().at(claim).proposal.hosts) {
                 hosts[name].claim = claim;
@@ -92,39 +92,39 @@
 
     TEST(ControllerMoves, TheOldReplicaEndsOnlyWhenItsSuccessorServes)
     {
-        MoveScene scene;
-        auto claims = scene.all<ClaimProposal>();
+        MoveFixture fixture;
+        auto claims = fixture.all<ClaimProposal>();
         ASSERT_EQ(claims.size(), 1u);
-        EXPECT_EQ(claims.front().replaces, scene.old);
+        EXPECT_EQ(claims.front().replaces, fixture.old);
         EXPECT_EQ(claims.front().hosts, (Lines { "e", "f" }));
-        Offset successor = scene.begin();
-        EXPECT_EQ(scene.orders(), (Lines { "load e", "load f" }));
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the running move makes enough room";
-        scene.obey(successor, EnginePhase::Loading);
-        EXPECT_EQ(scene.ends(), Lines {}) << "neither of the two claims is surplus";
-        scene.obey(successor, EnginePhase::Ready);
-        EXPECT_EQ(scene.ends(), Lines { "r0 moved" });
-        scene.end(scene.old);
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "its hosts are still draining";
-        EXPECT_EQ(scene.ends(), Lines {});
-        scene.hosts["a"].phase = scene.hosts["b"].phase = EnginePhase::Idle;
-        scene.fold("freed", HostsFreedProposal { scene.old, { "a", "b" }, FreedBecause::EngineConfirmed });
-        claims = scene.all<ClaimProposal>();
+        Offset successor = fixture.beginMove();
+        EXPECT_EQ(fixture.orders(), (Lines { "load e", "load f" }));
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the running move makes enough room";
+        fixture.setEngineState(successor, EnginePhase::Loading);
+        EXPECT_EQ(fixture.ends(), Lines {}) << "neither of the two claims is surplus";
+        fixture.setEngineState(successor, EnginePhase::Ready);
+        EXPECT_EQ(fixture.ends(), Lines { "r0 moved" });
+        fixture.end(fixture.old);
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "its hosts are still draining";
+        EXPECT_EQ(fixture.ends(), Lines {});
+        fixture.hosts["a"].phase = fixture.hosts["b"].phase = EnginePhase::Idle;
+        fixture.fold("freed", HostsFreedProposal { fixture.old, { "a", "b" }, FreedReason::EngineConfirmed });
+        claims = fixture.all<ClaimProposal>();
         ASSERT_EQ(claims.size(), 1u);
         EXPECT_EQ(claims.front().service, "desk");
         EXPECT_EQ(claims.front().replaces, 0u);
     }
 
-    TEST(ControllerMoves, WhicheverOfTheTwoBreaksTheOtherIsTheReplica)
+    TEST(ControllerMoves, IfEitherClaimOfAMoveFailsTheOtherOneRemains)
     {
-        MoveScene scene;
-        Offset successor = scene.begin();
-        MoveScene other = scene;
-        scene.kill("e");
-        EXPECT_EQ(scene.ends(), Lines { fmt::format("m{} host_dead", scene.old) });
-        scene.end(successor);
-        EXPECT_EQ(scene.ends(), Lines {});
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "no domain has two free hosts to move to";
+        MoveFixture fixture;
+        Offset successor = fixture.beginMove();
+        MoveFixture other = fixture;
+        fixture.kill("e");
+        EXPECT_EQ(fixture.ends(), Lines { fmt::format("m{} host_dead", fixture.old) });
+        fixture.end(successor);
+        EXPECT_EQ(fixture.ends(), Lines {});
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "no domain has two free hosts to move to";
         other.kill("a");
         EXPECT_EQ(other.ends(), Lines { "r0 host_dead" });
         other.fold("end", ClaimEndProposal { other.old, "host_dead" });
@@ -133,18 +133,18 @@
         EXPECT_TRUE(other.all<ClaimProposal>().empty()) << "the successor counts as the replica";
     }
 
-    TEST(ControllerMoves, AnyControllerRecognisesAMoveFromASnapshot)
+    TEST(ControllerMoves, MoveIsRecognizedAfterRestoringASnapshot)
     {
-        MoveScene scene;
-        Offset successor = scene.begin();
-        scene.state = *State::restore({ scene.state.offset(), "", 0, 1, scene.state.snapshot() });
-        EXPECT_EQ(scene.state.claims().at(successor).proposal.replaces, scene.old);
-        EXPECT_EQ(scene.ends(), Lines {});
-        scene.obey(successor, EnginePhase::Ready);
-        EXPECT_EQ(scene.ends(), Lines { "r0 moved" });
+        MoveFixture fixture;
+        Offset successor = fixture.beginMove();
+        fixture.state = *State::restore({ fixture.state.offset(), "", 0, 1, fixture.state.snapshot() });
+        EXPECT_EQ(fixture.state.claims().at(successor).proposal.replaces, fixture.old);
+        EXPECT_EQ(fixture.ends(), Lines {});
+        fixture.setEngineState(successor, EnginePhase::Ready);
+        EXPECT_EQ(fixture.ends(), Lines { "r0 moved" });
     }
 
-    TEST(ControllerMoves, TheLogKeepsWhatAClaimReplacesAndOldRecordsReplaceNothing)
+    TEST(ControllerMoves, ReplacesFieldIsEncodedAndOptional)
     {
         ClaimProposal claim { "writers", "m7", "howrah", "d1", { "a" }, { 1 }, "kumquat", "1", 7 };
         auto replaces = [](const std::string& bytes) {
@@ -158,86 +158,86 @@
         EXPECT_EQ(replaces(without), 0u);
     }
 
-    TEST(ControllerMoves, AMoveIsGivenUpWithItsVersionOrItsReplica)
+    TEST(ControllerMoves, MoveIsCancelledWithItsVersionOrReplica)
     {
-        MoveScene scene;
-        scene.begin();
-        std::string successor = fmt::format("m{}", scene.old);
-        scene.service().modelVersion = "2";
-        scene.large().replicas = 0;
-        EXPECT_EQ(scene.ends(), Lines { successor + " move_outdated" });
-        scene.service().modelVersion = "1";
-        EXPECT_EQ(scene.ends(), Lines {}) << "a move that has begun is completed";
-        scene.service().replicas = 0;
-        EXPECT_EQ(scene.ends(), (Lines { "r0 scale_down", successor + " scale_down" }));
+        MoveFixture fixture;
+        fixture.beginMove();
+        std::string successor = fmt::format("m{}", fixture.old);
+        fixture.service().modelVersion = "2";
+        fixture.large().replicas = 0;
+        EXPECT_EQ(fixture.ends(), Lines { successor + " move_outdated" });
+        fixture.service().modelVersion = "1";
+        EXPECT_EQ(fixture.ends(), Lines {}) << "a move that has begun is completed";
+        fixture.service().replicas = 0;
+        EXPECT_EQ(fixture.ends(), (Lines { "r0 scale_down", successor + " scale_down" }));
     }
 
     TEST(ControllerMoves, LoadsOfMovesWaitForReplicasThatAreDown)
     {
-        MoveScene scene;
-        scene.begin();
-        scene.service().replicas = 2;
-        Offset down = scene.claim("r1", { "g", "h" });
-        scene.obey(down, EnginePhase::Idle);
-        EXPECT_EQ(scene.orders(), (Lines { "load g", "load h" }));
-        scene.obey(down, EnginePhase::Loading);
-        EXPECT_EQ(scene.orders(), Lines {});
-        scene.rules.recoveryLoadsFirst = [](const ServiceText&) { return false; };
-        EXPECT_EQ(scene.orders(), (Lines { "load e", "load f" }));
-        scene.obey(down, EnginePhase::Idle);
-        EXPECT_EQ(scene.orders(), (Lines { "load g", "load h", "load e", "load f" }));
+        MoveFixture fixture;
+        fixture.beginMove();
+        fixture.service().replicas = 2;
+        Offset down = fixture.claim("r1", { "g", "h" });
+        fixture.setEngineState(down, EnginePhase::Idle);
+        EXPECT_EQ(fixture.orders(), (Lines { "load g", "load h" }));
+        fixture.setEngineState(down, EnginePhase::Loading);
+        EXPECT_EQ(fixture.orders(), Lines {});
+        fixture.rules.recoveryLoadsFirst = [](const ServiceText&) { return false; };
+        EXPECT_EQ(fixture.orders(), (Lines { "load e", "load f" }));
+        fixture.setEngineState(down, EnginePhase::Idle);
+        EXPECT_EQ(fixture.orders(), (Lines { "load g", "load h", "load e", "load f" }));
     }
 
-    TEST(ControllerMoves, NoMoveIsBegunWithoutNeedOrBeyondTheBound)
+    TEST(ControllerMoves, NoMoveBeginsWithoutNeedOrBeyondTheLimit)
     {
-        MoveScene scene;
-        scene.rules.movesAtOnce = [](const ServiceText&, bool) { return 0; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the limit for running moves is reached";
-        scene.rules = movingRules();
-        scene.large().replicas = 0;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "no service lacks a replica";
-        scene.large().replicas = 1;
-        scene.host("g").answeringSince = scene.host("h").answeringSince = scene.now;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "two more hosts have returned recently";
-        scene.hosts.erase("g");
-        EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
-        scene.hosts["a"].phase = EnginePhase::Loading;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the old replica is not ready itself";
-        scene.rules.move = [&](const MoveQuestion&) { return ReplicaMove { scene.old, { "d2", { "e", "f" } } }; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "the choice of the mover does not override this";
-        scene.hosts["a"].phase = EnginePhase::Ready;
-        EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
+        MoveFixture fixture;
+        fixture.rules.movesAtOnce = [](const ServiceText&, bool) { return 0; };
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the limit for running moves is reached";
+        fixture.rules = movingRules();
+        fixture.large().replicas = 0;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "no service lacks a replica";
+        fixture.large().replicas = 1;
+        fixture.host("g").answeringSince = fixture.host("h").answeringSince = fixture.now;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "two more hosts have returned recently";
+        fixture.hosts.erase("g");
+        EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
+        fixture.hosts["a"].phase = EnginePhase::Loading;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the old replica is not ready itself";
+        fixture.rules.move = [&](const MoveRequest&) { return ReplicaMove { fixture.old, { "d2", { "e", "f" } } }; };
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the choice of the mover does not override this";
+        fixture.hosts["a"].phase = EnginePhase::Ready;
+        EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
         for (ReplicaMove bad :
-            { ReplicaMove { scene.old, { "d1", { "c", "d" } } }, ReplicaMove { 99, { "d2", { "e", "f" } } },
-                ReplicaMove { scene.old, { "d2", { "e" } } }, ReplicaMove { scene.old, { "d2", { "e", "c" } } } }) {
-            scene.rules.move = [&](const MoveQuestion&) { return bad; };
-            EXPECT_TRUE(scene.all<ClaimProposal>().empty());
+            { ReplicaMove { fixture.old, { "d1", { "c", "d" } } }, ReplicaMove { 99, { "d2", { "e", "f" } } },
+                ReplicaMove { fixture.old, { "d2", { "e" } } }, ReplicaMove { fixture.old, { "d2", { "e", "c" } } } }) {
+            fixture.rules.move = [&](const MoveRequest&) { return bad; };
+            EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
         }
     }
 
-    TEST(ControllerMoves, ReplicasThatAreDownBoundWhatIsBegun)
+    TEST(ControllerMoves, RecoveringReplicasLimitNewMoves)
     {
-        MoveScene scene;
-        scene.service().replicas = 2;
-        scene.rules.movesAtOnce = [](const ServiceText&, bool recoveriesWait) { return recoveriesWait ? 0 : 1; };
-        Offset down = scene.claim("r1", { "g", "h" });
-        EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
-        scene.obey(down, EnginePhase::Loading);
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty());
+        MoveFixture fixture;
+        fixture.service().replicas = 2;
+        fixture.rules.movesAtOnce = [](const ServiceText&, bool recoveriesWait) { return recoveriesWait ? 0 : 1; };
+        Offset down = fixture.claim("r1", { "g", "h" });
+        EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
+        fixture.setEngineState(down, EnginePhase::Loading);
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
     }
 
     TEST(ControllerMoves, AVersionChangeAndAMoveDoNotTakeDownTwoAtOnce)
     {
-        MoveScene scene;
-        Offset successor = scene.begin();
-        scene.obey(successor, EnginePhase::Ready);
-        scene.large().replicas = 0;
-        scene.service().replicas = 2;
-        scene.claim("r1", { "g", "h" }, "0");
-        scene.hosts.erase("c");
-        EXPECT_EQ(scene.ends(), Lines { "r0 moved" });
+        MoveFixture fixture;
+        Offset successor = fixture.beginMove();
+        fixture.setEngineState(successor, EnginePhase::Ready);
+        fixture.large().replicas = 0;
+        fixture.service().replicas = 2;
+        fixture.claim("r1", { "g", "h" }, "0");
+        fixture.hosts.erase("c");
+        EXPECT_EQ(fixture.ends(), Lines { "r0 moved" });
 
-        MoveScene other;
+        MoveFixture other;
         other.fold("outdated",
             ClaimProposal { "desk", "r0", "howrah", "d4", { "s", "t", "u", "v" }, { 1, 1, 1, 1 }, "kumquat", "0" });
         for (const char* name : { "s", "t", "u", "v" })
@@ -250,73 +250,73 @@
     // no place and the mover proposes one.
     TEST(ControllerMoves, OnlyASmallerReplicaMovesAndOnlyWhereThatIsEnough)
     {
-        MoveScene scene;
-        scene.rules.place = [](const PlacementQuestion&) { return std::nullopt; };
-        scene.large().hostsPerReplica = 2;
-        scene.rules.move = [&](const MoveQuestion&) { return ReplicaMove { scene.old, { "d2", { "e", "f" } } }; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty());
-        scene.large().hostsPerReplica = 5;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty());
-        scene.large().hostsPerReplica = 3;
-        scene.hosts.erase("c");
-        scene.hosts.erase("d");
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty());
+        MoveFixture fixture;
+        fixture.rules.place = [](const PlacementRequest&) { return std::nullopt; };
+        fixture.large().hostsPerReplica = 2;
+        fixture.rules.move = [&](const MoveRequest&) { return ReplicaMove { fixture.old, { "d2", { "e", "f" } } }; };
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
+        fixture.large().hostsPerReplica = 5;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
+        fixture.large().hostsPerReplica = 3;
+        fixture.hosts.erase("c");
+        fixture.hosts.erase("d");
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
     }
 
-    TEST(ControllerMoves, ANodeThatMostHostsDoNotAnswerBeginsNone)
+    TEST(ControllerMoves, DisconnectedNodeBeginsNoMoves)
     {
-        MoveScene scene;
+        MoveFixture fixture;
         for (const char* name : { "s", "t", "u", "v", "w", "x", "y" })
-            scene.host(name, "d4").answering = false;
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty());
-        scene.hosts["x"].answering = scene.hosts["y"].answering = true;
-        scene.hosts.erase("x");
-        EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
+            fixture.host(name, "d4").answering = false;
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
+        fixture.hosts["x"].answering = fixture.hosts["y"].answering = true;
+        fixture.hosts.erase("x");
+        EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
     }
 
-    TEST(ControllerMoves, HostsThatDrainAreRoomAsLongAsTheyAnswer)
+    TEST(ControllerMoves, DrainingHostsCountAsRoomWhileTheyAnswer)
     {
-        MoveScene scene;
+        MoveFixture fixture;
         for (const char* name : { "g", "h", "x", "y" })
-            scene.host(name, "d3");
-        Offset other = scene.fold(
+            fixture.host(name, "d3");
+        Offset other = fixture.fold(
             "claim", ClaimProposal { "writers", "r1", "howrah", "d3", { "g", "h" }, { 1, 1 }, "kumquat", "1" });
-        scene.obey(other, EnginePhase::Ready);
-        scene.end(scene.old);
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "d1 will have four free hosts";
-        scene.kill("a");
-        auto claims = scene.all<ClaimProposal>();
+        fixture.setEngineState(other, EnginePhase::Ready);
+        fixture.end(fixture.old);
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "d1 will have four free hosts";
+        fixture.kill("a");
+        auto claims = fixture.all<ClaimProposal>();
         ASSERT_EQ(claims.size(), 1u);
         EXPECT_EQ(claims.front().replaces, other);
     }
 
     // Two replicas of four hosts are missing. Room for one is about to become free in d1, and a move for the other one
     // must not use it.
-    TEST(ControllerMoves, RoomThatIsComingForOneReplicaIsNotTakenForAnother)
+    TEST(ControllerMoves, ReservedRoomIsNotUsedForAnotherMove)
     {
-        MoveScene scene;
-        scene.begin();
-        scene.large().replicas = 2;
-        scene.service().replicas = 2;
+        MoveFixture fixture;
+        fixture.beginMove();
+        fixture.large().replicas = 2;
+        fixture.service().replicas = 2;
         for (const char* name : { "g", "h" })
-            scene.host(name, "d2");
+            fixture.host(name, "d2");
         for (const char* name : { "i", "j", "x", "y" })
-            scene.host(name, "d3");
-        Offset other = scene.fold(
+            fixture.host(name, "d3");
+        Offset other = fixture.fold(
             "claim", ClaimProposal { "writers", "r1", "howrah", "d3", { "x", "y" }, { 1, 1 }, "kumquat", "1" });
-        scene.obey(other, EnginePhase::Ready);
+        fixture.setEngineState(other, EnginePhase::Ready);
         Placement to { "d1", { "c", "d" } };
-        scene.rules.move = [&](const MoveQuestion& question) {
-            EXPECT_EQ(question.wanted.freeDomains.at("d1").hosts, Lines {});
-            EXPECT_EQ(question.movable.size(), 1u) << "the first replica is being moved already";
+        fixture.rules.move = [&](const MoveRequest& request) {
+            EXPECT_EQ(request.wanted.freeDomains.at("d1").hosts, Lines {});
+            EXPECT_EQ(request.movable.size(), 1u) << "the first replica is being moved already";
             return ReplicaMove { other, to };
         };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty());
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty());
         to = { "d2", { "g", "h" } };
-        ASSERT_EQ(scene.all<ClaimProposal>().size(), 1u);
-        EXPECT_EQ(scene.all<ClaimProposal>().front().replaces, other);
-        scene.rules.movesAtOnce = [](const ServiceText&, bool) { return 1; };
-        EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "one move is running already";
+        ASSERT_EQ(fixture.all<ClaimProposal>().size(), 1u);
+        EXPECT_EQ(fixture.all<ClaimProposal>().front().replaces, other);
+        fixture.rules.movesAtOnce = [](const ServiceText&, bool) { return 1; };
+        EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "one move is running already";
     }
 
 }
--- a/tests/coordination/controllerworld.h
+++ b/tests/coordination/controllerworld.h
@@ -16,18 +16,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Milliseconds worldStep { 500 };
-constexpr int worldHosts = 7; // One more than the services need, so that released hosts are claimed again soon.
+constexpr Milliseconds simulationStep { 500 };
+constexpr int simulationHosts = 7; // One more than the services need, so that released hosts are claimed again soon.
 
 // Short limits, so that hosts are reassigned while former holders of the lease are still paused.
-inline ControllerSettings worldSettings()
+inline ControllerSettings simulationSettings()
 {
     ControllerSettings settings;
-    settings.silentGrace = 4s;
-    settings.goneGrace = 1s;
-    settings.steadyFor = 500ms;
-    settings.drainQuiet = 1500ms;
-    settings.longestRequest = 30s;
+    settings.unresponsiveTimeout = 4s;
+    settings.unlistedTimeout = 1s;
+    settings.minAnsweringTime = 500ms;
+    settings.routingDrainTime = 1500ms;
+    settings.maxRequestTime = 30s;
     return settings;
 }
 
@@ -45,11 +45,11 @@
 
 // Moves the first replica that makes room to the first domain with enough hosts. It applies no policy, so that the
 // checks of the controller itself are tested.
-inline std::optional<ReplicaMove> moveFirstFit(const MoveQuestion& question)
+inline std::optional<ReplicaMove> moveFirstFit(const MoveRequest& request)
 {
-    const auto& domains = question.wanted.freeDomains;
-    size_t needed = question.wanted.service.hostsPerReplica;
-    for (const Claim* claim : question.movable) {
+    const auto& domains = request.wanted.freeDomains;
+    size_t needed = request.wanted.service.hostsPerReplica;
+    for (const Claim* claim : request.movable) {
         const std::vector<std::string>& hosts = claim->proposal.hosts;
         auto from = domains.find(claim->proposal.domain);
         if (hosts.size() >= needed || from == domains.end() || from->second.hosts.size() + hosts.size() < needed)
@@ -82,7 +82,7 @@
     uint64_t incarnation = 1;
     EnginePhase phase = EnginePhase::Idle;
     Offset claim = 0;
-    Offset highest = 0; // The newest claim of all orders in this incarnation.
+    Offset highestClaim = 0; // The newest claim of all orders in this incarnation.
     int stepsToLoad = 0;
     uint32_t requests = 0;
 };
@@ -108,16 +108,16 @@
     HostRegistry hosts;
     EndedClaims ended;
     MonotonicTime pausedUntil {};
-    MonotonicTime cutOffUntil {}; // Applies to the hosts that cutOffFrom selects.
-    std::string cutOffFrom; // Host that does not answer this controller; empty for all hosts.
+    MonotonicTime disconnectedUntil {}; // Applies to the hosts that disconnectedHost selects.
+    std::string disconnectedHost; // Host that does not answer this controller; empty for all hosts.
     Milliseconds listLag {};
     std::vector<ControllerAction> pending; // Actions that were decided on and not executed when the pause began.
 };
 
 // Simulates the log, the hosts, the platform's list and the controllers in steps, with a seeded random generator.
-class ControllerWorld {
+class ControllerSimulation {
 public:
-    ControllerWorld(uint64_t seed, std::vector<ServiceText> services, int hosts = worldHosts)
+    ControllerSimulation(uint64_t seed, std::vector<ServiceText> services, int hosts = simulationHosts)
         : m_random(seed)
     {
         m_text.services = std::move(services);
@@ -129,12 +129,12 @@
 
     void step()
     {
-        now += worldStep;
-        deliverOrders(); // Done first, so that no order takes longer than orderFlight.
+        now += simulationStep;
+        deliverOrders(); // Done first, so that no order takes longer than maxOrderDelay.
         publishList();
         for (FakeController& controller : controllers) {
             if (now >= controller.pausedUntil)
-                turn(controller);
+                runController(controller);
         }
         for (auto& [name, engine] : engines)
             runEngine(engine);
@@ -143,9 +143,10 @@
 
     void append(RecordBody body)
     {
-        Offset offset = truth.offset() + 1;
+        Offset offset = appliedState.offset() + 1;
         LoggedRecord logged { offset, { fmt::format("id{}", offset), std::move(body) } };
-        if (truth.apply(logged) == Verdict::Accepted && std::holds_alternative<ClaimEndProposal>(logged.record.body))
+        if (appliedState.apply(logged) == Verdict::Accepted
+            && std::holds_alternative<ClaimEndProposal>(logged.record.body))
             m_endedAt[std::get<ClaimEndProposal>(logged.record.body).claim] = now;
         log.push_back(std::move(logged));
     }
@@ -169,14 +170,14 @@
     size_t readyReplicas(const ServiceText& service) const
     {
         size_t ready = 0;
-        for (const auto& [offset, claim] : truth.claims()) {
+        for (const auto& [offset, claim] : appliedState.claims()) {
             bool wanted = claim.proposal.service == service.name && claim.proposal.modelVersion == service.modelVersion;
-            ready += wanted && claim.phase == ClaimPhase::Held && wholeAndReady(claim);
+            ready += wanted && claim.phase == ClaimPhase::Held && isReady(claim);
         }
         return ready;
     }
 
-    bool wholeAndReady(const Claim& claim) const
+    bool isReady(const Claim& claim) const
     {
         for (size_t rank = 0; rank < claim.proposal.hosts.size(); ++rank) {
             const FakeEngine& engine = engines.at(claim.proposal.hosts[rank]);
@@ -191,12 +192,12 @@
 
     MonotonicTime now { 1000s };
     std::vector<LoggedRecord> log;
-    State truth;
+    State appliedState;
     std::map<std::string, FakeEngine> engines;
     std::deque<FakeController> controllers;
     std::vector<std::string> violations;
     bool lossy = true; // Appends and orders may be lost, delayed or duplicated.
-    ControllerSettings settings = worldSettings();
+    ControllerSettings settings = simulationSettings();
     PlacementRules rules = movingRules();
 
 private:
@@ -216,10 +217,10 @@
             m_lists.pop_front();
     }
 
-    void turn(FakeController& controller)
+    void runController(FakeController& controller)
     {
         for (ControllerAction& action : controller.pending)
-            act(controller, action);
+            execute(controller, action);
         controller.pending.clear();
         readLog(controller);
         probe(controller);
@@ -228,15 +229,15 @@
         AcceptedConfig config { 1, controller.text, {} };
         auto actions
             = reconcile({ &config, controller.state.claims(), controller.hosts.views(), controller.ended.times(),
-                            controller.lease, controller.hosts.watchingSince(), now },
+                            controller.lease, controller.hosts.hostDataSince(), now },
                 settings, rules);
         bool pauses = lossy && draw(actions.empty() ? 60 : 12) == 0;
         for (ControllerAction& action : actions) {
-            checkLoad(controller, action);
+            checkAction(controller, action);
             if (pauses)
                 controller.pending.push_back(std::move(action));
             else
-                act(controller, action);
+                execute(controller, action);
         }
         if (pauses)
             controller.pausedUntil = now + Milliseconds(draw(15'000));
@@ -265,19 +266,19 @@
             entries.push_back({ name, "howrah", engine.domain, "", engine.incarnation, engine.leaving });
         controller.hosts.setListed(entries, now);
         for (const auto& [name, engine] : engines) {
-            bool named = controller.cutOffFrom.empty() || controller.cutOffFrom == name;
-            bool cutOff = now < controller.cutOffUntil && named;
+            bool named = controller.disconnectedHost.empty() || controller.disconnectedHost == name;
+            bool cutOff = now < controller.disconnectedUntil && named;
             if (engine.alive && !cutOff && (!lossy || draw(20) != 0))
-                controller.hosts.answered(name,
+                controller.hosts.recordAnswer(name,
                     { engine.incarnation, engine.leaving, engine.phase, engine.claim, engine.requests }, now, now);
             else
-                controller.hosts.unanswered(name, now);
+                controller.hosts.recordNoAnswer(name, now);
         }
     }
 
     // Checks without the code under test: a claim names distinct hosts of one domain, and a load order is sent only
     // while every host of the claim answers and is not leaving.
-    void checkLoad(const FakeController& controller, const ControllerAction& action)
+    void checkAction(const FakeController& controller, const ControllerAction& action)
     {
         if (auto* claim = std::get_if<ClaimProposal>(&action)) {
             std::set<std::string> distinct(claim->hosts.begin(), claim->hosts.end());
@@ -289,7 +290,7 @@
             }
         }
         if (auto* end = std::get_if<ClaimEndProposal>(&action); end && end->reason == "moved")
-            checkMoved(controller, end->claim);
+            checkMoveEnd(controller, end->claim);
         auto* order = std::get_if<HostOrder>(&action);
         if (!order || order->kind != HostOrder::Kind::Load)
             return;
@@ -301,7 +302,7 @@
     }
 
     // Checks that the old claim of a move ends only after this controller saw the successor ready.
-    void checkMoved(const FakeController& controller, Offset old)
+    void checkMoveEnd(const FakeController& controller, Offset old)
     {
         for (const auto& [offset, claim] : controller.state.claims()) {
             if (claim.proposal.replaces != old || claim.phase != ClaimPhase::Held)
@@ -317,13 +318,13 @@
         violations.push_back(fmt::format("claim {} ended with reason \"moved\" before its successor was ready", old));
     }
 
-    void act(FakeController& controller, ControllerAction& action)
+    void execute(FakeController& controller, ControllerAction& action)
     {
         if (auto* order = std::get_if<HostOrder>(&action)) {
             if (now >= order->sendBefore)
                 return;
-            controller.hosts.sending(order->host, order->claim, now);
-            auto flight = lossy ? Milliseconds(draw(settings.orderFlight.count())) : 0ms;
+            controller.hosts.recordOrder(order->host, order->claim, now);
+            auto flight = lossy ? Milliseconds(draw(settings.maxOrderDelay.count())) : 0ms;
             if (!lossy || draw(10) != 0)
                 m_orders.push_back({ now + flight, *order });
             return;
@@ -333,7 +334,7 @@
         bool twice = lossy && draw(10) == 0; // The response was lost and the controller retried.
         for (int i = 0; i < (twice ? 2 : 1); ++i) {
             if (std::holds_alternative<LeaseProposal>(action))
-                controller.lease.sending(fmt::format("id{}", truth.offset() + 1), now);
+                controller.lease.recordSend(fmt::format("id{}", appliedState.offset() + 1), now);
             std::visit(
                 [&](auto& body) {
                     if constexpr (!std::is_same_v<std::decay_t<decltype(body)>, HostOrder>)
@@ -346,28 +347,28 @@
     void deliverOrders()
     {
         std::vector<OrderInFlight> later;
-        for (OrderInFlight& flying : m_orders) {
-            if (flying.arrives <= now)
-                obey(engines.at(flying.order.host), flying.order);
+        for (OrderInFlight& inFlight : m_orders) {
+            if (inFlight.arrives <= now)
+                carryOut(engines.at(inFlight.order.host), inFlight.order);
             else
-                later.push_back(std::move(flying));
+                later.push_back(std::move(inFlight));
         }
         m_orders = std::move(later);
     }
 
-    void obey(FakeEngine& engine, const HostOrder& order)
+    void carryOut(FakeEngine& engine, const HostOrder& order)
     {
         if (!engine.alive)
             return;
-        if (order.claim < engine.highest) {
+        if (order.claim < engine.highestClaim) {
             if (!engine.checksFencing)
                 violations.push_back(fmt::format(
-                    "{} got an order of claim {} after one of claim {}", order.host, order.claim, engine.highest));
+                    "{} got an order of claim {} after one of claim {}", order.host, order.claim, engine.highestClaim));
             return;
         }
-        engine.highest = order.claim;
+        engine.highestClaim = order.claim;
         if (order.kind == HostOrder::Kind::Unload) {
-            if (engine.requests > 0 && engine.claim == order.claim && !memberDead(order))
+            if (engine.requests > 0 && engine.claim == order.claim && !replicaFailed(order))
                 violations.push_back(fmt::format("{} was unloaded while requests were running", order.host));
             engine.phase = EnginePhase::Idle;
             engine.claim = 0;
@@ -380,10 +381,10 @@
         }
     }
 
-    bool memberDead(const HostOrder& order) const
+    bool replicaFailed(const HostOrder& order) const
     {
-        auto claim = truth.claims().find(order.claim);
-        return claim == truth.claims().end() || !wholeAndReady(claim->second);
+        auto claim = appliedState.claims().find(order.claim);
+        return claim == appliedState.claims().end() || !isReady(claim->second);
     }
 
     static void runEngine(FakeEngine& engine)
@@ -395,12 +396,13 @@
     // Entry nodes send requests to held claims, and to an ending claim for a while after its end.
     void route()
     {
-        for (const auto& [offset, claim] : truth.claims()) {
+        for (const auto& [offset, claim] : appliedState.claims()) {
             FakeEngine& leader = engines.at(claim.proposal.hosts.front());
             if (leader.claim != offset)
                 continue;
-            bool routed = claim.phase == ClaimPhase::Held || now - m_endedAt[offset] < settings.drainQuiet - worldStep;
-            bool serves = wholeAndReady(claim);
+            bool routed = claim.phase == ClaimPhase::Held
+                || now - m_endedAt[offset] < settings.routingDrainTime - simulationStep;
+            bool serves = isReady(claim);
             leader.requests = serves && (draw(3) == 0 ? routed && draw(2) == 0 : leader.requests > 0);
         }
     }
@@ -414,12 +416,12 @@
 
 // The input of one round of a controller that holds a long lease: the claims result from applied proposals, and all
 // hosts are healthy.
-struct Scene {
-    Scene()
+struct ControllerFixture {
+    ControllerFixture()
     {
         config.parsed.services = { modelService("writers", 1, FencingSupport::Checked) };
         config.version = 1;
-        lease.sending("lease", now);
+        lease.recordSend("lease", now);
         fold("lease", lease.proposal());
     }
 
@@ -443,7 +445,7 @@
     }
 
     // Advances the time and refreshes the status of the hosts that answer.
-    void pass(Milliseconds time)
+    void advance(Milliseconds time)
     {
         now += time;
         for (auto& [name, host] : hosts) {
@@ -474,7 +476,7 @@
 
     std::vector<ControllerAction> actions()
     {
-        return reconcile({ &config, state.claims(), hosts, endedAt, lease, watchingSince, now }, settings, rules);
+        return reconcile({ &config, state.claims(), hosts, endedAt, lease, hostDataSince, now }, settings, rules);
     }
 
     template <typename Kind> std::vector<Kind> all()
@@ -497,7 +499,7 @@
     }
 
     MonotonicTime now { 10'000s };
-    MonotonicTime watchingSince {};
+    MonotonicTime hostDataSince {};
     State state;
     LeaseTracker lease { "controller", NodeId { "c1", 1 }, 60s, 1s };
     AcceptedConfig config;
@@ -509,9 +511,9 @@
 
 using Lines = std::vector<std::string>;
 
-inline std::string endReason(Scene& scene)
+inline std::string endReason(ControllerFixture& fixture)
 {
-    auto ends = scene.all<ClaimEndProposal>();
+    auto ends = fixture.all<ClaimEndProposal>();
     return ends.empty() ? "" : ends.front().reason;
 }
 
--- a/tests/coordination/hostregistry_test.cpp
+++ b/tests/coordination/hostregistry_test.cpp
@@ -10,46 +10,46 @@
 
     const MonotonicTime start { 1000s };
 
-    TEST(HostRegistry, KeepsSinceWhenEachThingHolds)
+    TEST(HostRegistry, RecordsTheTimesOfChanges)
     {
         HostRegistry registry;
         HostEntry entry { "a", "howrah", "d1", "", 1, false };
         registry.setListed({ &entry, 1 }, start);
         registry.setListed({ &entry, 1 }, start + 1s);
-        registry.answered("a", { 1, false, EnginePhase::Ready, 7, 2 }, start + 1s, start + 2s);
+        registry.recordAnswer("a", { 1, false, EnginePhase::Ready, 7, 2 }, start + 1s, start + 2s);
         const HostView& view = registry.views().at("a");
         EXPECT_EQ(view.listedSince, start);
         EXPECT_EQ(view.answeringSince, start + 2s);
         EXPECT_EQ(view.statusAt, start + 1s);
         EXPECT_EQ(view.claim, 7u);
-        registry.unanswered("a", start + 3s);
-        registry.unanswered("a", start + 4s);
-        EXPECT_EQ(view.silentSince(), start + 3s);
+        registry.recordNoAnswer("a", start + 3s);
+        registry.recordNoAnswer("a", start + 4s);
+        EXPECT_EQ(view.unresponsiveSince(), start + 3s);
         registry.setListed({}, start + 5s);
         EXPECT_FALSE(view.listed);
         EXPECT_EQ(view.listedSince, start + 5s);
-        EXPECT_EQ(registry.watchingSince(), start);
+        EXPECT_EQ(registry.hostDataSince(), start);
     }
 
-    TEST(HostRegistry, AnOvertakenProbeChangesNothing)
+    TEST(HostRegistry, OutdatedProbeAnswerIsIgnored)
     {
         HostRegistry registry;
-        registry.answered("a", { 1, false, EnginePhase::Ready, 7, 0 }, start + 2s, start + 3s);
-        registry.answered("a", { 1, false, EnginePhase::Idle, 0, 0 }, start + 1s, start + 4s);
+        registry.recordAnswer("a", { 1, false, EnginePhase::Ready, 7, 0 }, start + 2s, start + 3s);
+        registry.recordAnswer("a", { 1, false, EnginePhase::Idle, 0, 0 }, start + 1s, start + 4s);
         EXPECT_EQ(registry.views().at("a").phase, EnginePhase::Ready);
     }
 
-    TEST(HostRegistry, LeavingIsTheWordOfEither)
+    TEST(HostRegistry, HostIsLeavingByListOrStatus)
     {
         HostRegistry registry;
         HostEntry entry { "a", "howrah", "d1", "", 1, false };
         registry.setListed({ &entry, 1 }, start);
-        registry.answered("a", { 1, true, EnginePhase::Ready, 7, 0 }, start, start);
+        registry.recordAnswer("a", { 1, true, EnginePhase::Ready, 7, 0 }, start, start);
         registry.setListed({ &entry, 1 }, start + 1s);
         EXPECT_TRUE(registry.views().at("a").isLeaving());
     }
 
-    TEST(HostRegistry, ForgetsWhatHasLongBeenGone)
+    TEST(HostRegistry, RemovesHostsUnlistedForLong)
     {
         HostRegistry registry;
         HostEntry entry { "a", "howrah", "d1", "", 1, false };
--- a/tests/coordination/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -21,7 +21,7 @@
         }
 
         LeaseTracker tracker;
-        Offset read = 0;
+        Offset readOffset = 0;
     };
 
     // An append that was sent and has not reached the log yet.
@@ -35,7 +35,7 @@
     {
         std::vector<Node> nodes { Node("a"), Node("b") };
         std::vector<LoggedRecord> log;
-        std::vector<Append> flying;
+        std::vector<Append> inFlight;
         State state;
         MonotonicTime now { 1000s };
         std::map<size_t, MonotonicTime> lastUntil;
@@ -45,29 +45,29 @@
             Node& node = nodes[index];
             switch (*rc::gen::inRange(0, 4)) {
             case 0:
-                if (node.tracker.proposalDue(now)) {
-                    flying.push_back({ fmt::format("id{}", serial++), node.tracker.proposal() });
-                    node.tracker.sending(flying.back().id, now);
+                if (node.tracker.isProposalDue(now)) {
+                    inFlight.push_back({ fmt::format("id{}", serial++), node.tracker.proposal() });
+                    node.tracker.recordSend(inFlight.back().id, now);
                 }
                 break;
             case 1:
-                if (!flying.empty()) {
-                    Append append = flying[*rc::gen::inRange<size_t>(0, flying.size())];
+                if (!inFlight.empty()) {
+                    Append append = inFlight[*rc::gen::inRange<size_t>(0, inFlight.size())];
                     if (*rc::gen::inRange(0, 4) != 0) // Otherwise the same append arrives again later.
-                        std::erase_if(flying, [&](const Append& other) { return other.id == append.id; });
+                        std::erase_if(inFlight, [&](const Append& other) { return other.id == append.id; });
                     log.push_back({ log.size() + 1, { append.id, append.proposal } });
                 }
                 break;
             default:
-                for (; node.read < log.size(); ++node.read) {
+                for (; node.readOffset < log.size(); ++node.readOffset) {
                     State prefix;
-                    for (size_t i = 0; i < node.read; ++i)
+                    for (size_t i = 0; i < node.readOffset; ++i)
                         prefix.apply(log[i]);
-                    node.tracker.folded(log[node.read], prefix.apply(log[node.read]), now);
+                    node.tracker.folded(log[node.readOffset], prefix.apply(log[node.readOffset]), now);
                 }
             }
             for (size_t i = 0; i < nodes.size(); ++i) {
-                auto tenure = nodes[i].tracker.held(now);
+                auto tenure = nodes[i].tracker.currentTenure(now);
                 if (!tenure)
                     continue;
                 lastUntil[i] = tenure->until;
@@ -78,32 +78,32 @@
         }
     }
 
-    TEST(Lease, IsRenewedAtAThirdAndUselessAfterAPause)
+    TEST(Lease, IsDueAfterAThirdAndEndsOneMarginEarly)
     {
         LeaseTracker tracker("controller", NodeId { "a", 1 }, duration, margin);
         MonotonicTime start { 1000s };
-        EXPECT_TRUE(tracker.proposalDue(start));
-        tracker.sending("id", start);
+        EXPECT_TRUE(tracker.isProposalDue(start));
+        tracker.recordSend("id", start);
         tracker.folded({ 1, { "id", tracker.proposal() } }, Verdict::Accepted, start + 500ms);
-        EXPECT_FALSE(tracker.proposalDue(start + 1s));
-        EXPECT_TRUE(tracker.proposalDue(start + 2s));
-        ASSERT_TRUE(tracker.held(start + 3s).has_value());
-        EXPECT_EQ(tracker.held(start + 3s)->since, start + 500ms);
-        EXPECT_EQ(tracker.held(start + 3s)->until, start + 4s);
-        EXPECT_FALSE(tracker.held(start + 4s).has_value());
+        EXPECT_FALSE(tracker.isProposalDue(start + 1s));
+        EXPECT_TRUE(tracker.isProposalDue(start + 2s));
+        ASSERT_TRUE(tracker.currentTenure(start + 3s).has_value());
+        EXPECT_EQ(tracker.currentTenure(start + 3s)->since, start + 500ms);
+        EXPECT_EQ(tracker.currentTenure(start + 3s)->until, start + 4s);
+        EXPECT_FALSE(tracker.currentTenure(start + 4s).has_value());
     }
 
-    TEST(Lease, ARestoredStateCountsFromNow)
+    TEST(Lease, RestoredLeaseCountsFromTheRestoreTime)
     {
         State state;
         state.apply({ 1, { "id", LeaseProposal { "controller", 0, { "b", 1 }, duration } } });
         LeaseTracker tracker("controller", NodeId { "a", 1 }, duration, margin);
         MonotonicTime start { 1000s };
         tracker.restored(state, start);
-        EXPECT_FALSE(tracker.proposalDue(start + duration));
-        EXPECT_TRUE(tracker.proposalDue(start + duration + margin));
+        EXPECT_FALSE(tracker.isProposalDue(start + duration));
+        EXPECT_TRUE(tracker.isProposalDue(start + duration + margin));
         EXPECT_EQ(tracker.proposal().previous, 1u);
-        EXPECT_FALSE(tracker.held(start).has_value());
+        EXPECT_FALSE(tracker.currentTenure(start).has_value());
     }
 
 }
--- a/tests/coordination/randomlog.h
+++ b/tests/coordination/randomlog.h
@@ -53,7 +53,7 @@
         return ClaimEndProposal { anyOffset(), "host_dead" };
     case 7:
     case 8:
-        return HostsFreedProposal { anyOffset(), anyHosts(), FreedBecause::HostDead };
+        return HostsFreedProposal { anyOffset(), anyHosts(), FreedReason::HostDead };
     case 9:
         return LeaseProposal { "controller", anyOffset(), anyNodeId(), Milliseconds(5000) };
     case 10:
@@ -74,7 +74,7 @@
     return log;
 }
 
-inline State folded(const std::vector<LoggedRecord>& log)
+inline State stateAfter(const std::vector<LoggedRecord>& log)
 {
     State state;
     for (const LoggedRecord& record : log)
--- a/tests/coordination/record_test.cpp
+++ b/tests/coordination/record_test.cpp
@@ -12,14 +12,14 @@
 
     using namespace Testing;
 
-    std::string codeOfDecoding(std::string_view bytes)
+    std::string decodeErrorCode(std::string_view bytes)
     {
         auto decoded = settle([&] { return decodeRecord(bytes); });
         auto* error = std::get_if<Error>(&decoded);
         return error ? std::string(name(error->code)) : "read";
     }
 
-    RC_GTEST_PROP(Record, EveryKindComesBackAsItWas, ())
+    RC_GTEST_PROP(Record, RoundTripsEveryKind, ())
     {
         Record record { "id", anyBody() };
         std::string bytes = encode(record);
@@ -29,26 +29,26 @@
         RC_ASSERT(encode(std::get<Record>(decoded)) == bytes);
     }
 
-    RC_GTEST_PROP(Record, DamagedBytesAreReadOrMalformedAndNothingElse, ())
+    RC_GTEST_PROP(Record, DamagedBytesDecodeOrFailWithMalformed, ())
     {
         std::string bytes = encode({ "id", anyBody() });
         auto at = *rc::gen::inRange<size_t>(0, bytes.size());
         bytes[at] = static_cast<char>(*rc::gen::inRange(0, 256));
-        std::string code = codeOfDecoding(bytes);
+        std::string code = decodeErrorCode(bytes);
         RC_ASSERT(code == "read" || code == "malformed");
     }
 
-    TEST(Record, RefusesWhatDoesNotFit)
+    TEST(Record, RejectsInvalidRecords)
     {
-        EXPECT_EQ(codeOfDecoding("{}"), "malformed");
-        EXPECT_EQ(codeOfDecoding(R"({"id":"","kind":"claim_end","claim":1,"reason":"x"})"), "malformed");
-        EXPECT_EQ(codeOfDecoding(R"({"id":"a","kind":"claim_end","claim":-1,"reason":"x"})"), "malformed");
-        EXPECT_EQ(codeOfDecoding(R"({"id":"a","kind":"claim_end","claim":1.5,"reason":"x"})"), "malformed");
-        EXPECT_EQ(codeOfDecoding(R"({"id":"a","kind":"other"})"), "malformed");
-        EXPECT_EQ(codeOfDecoding(R"({"id":"a","kind":"claim_end","claim":1,"reason":"x"})"), "read");
+        EXPECT_EQ(decodeErrorCode("{}"), "malformed");
+        EXPECT_EQ(decodeErrorCode(R"({"id":"","kind":"claim_end","claim":1,"reason":"x"})"), "malformed");
+        EXPECT_EQ(decodeErrorCode(R"({"id":"a","kind":"claim_end","claim":-1,"reason":"x"})"), "malformed");
+        EXPECT_EQ(decodeErrorCode(R"({"id":"a","kind":"claim_end","claim":1.5,"reason":"x"})"), "malformed");
+        EXPECT_EQ(decodeErrorCode(R"({"id":"a","kind":"other"})"), "malformed");
+        EXPECT_EQ(decodeErrorCode(R"({"id":"a","kind":"claim_end","claim":1,"reason":"x"})"), "read");
     }
 
-    RC_GTEST_PROP(Base64, BytesComeBack, (const std::vector<uint8_t>& bytes))
+    RC_GTEST_PROP(Base64, RoundTrips, (const std::vector<uint8_t>& bytes))
     {
         RC_ASSERT(base64Decode(base64Encode(bytes)) == std::optional(bytes));
     }
--- a/tests/coordination/slotproperty_test.cpp
+++ b/tests/coordination/slotproperty_test.cpp
@@ -326,7 +326,7 @@
     Journal journal;
     size_t latest = 0;
     for (size_t index : order) {
-        journal.keep(entries[index]);
+        journal.keepLatest(entries[index]);
         latest = std::max(latest, index);
     }
     RC_PRE(!order.empty());
@@ -344,13 +344,13 @@
         entry.key = key;
         entry.issued = start + Milliseconds(1);
         entry.grantedAt.id.name = key;
-        journal.keep(entry);
+        journal.keepLatest(entry);
     }
     auto parts = journal.split(perPart);
     std::reverse(parts.begin(), parts.end());
     Journal copy;
     for (const CopyRequest& part : parts)
-        copy.take(part);
+        copy.merge(part);
     RC_ASSERT(copy.size() == keys.size());
     RC_ASSERT(copy.forgottenBefore() == start);
     for (const std::string& key : keys)
--- a/tests/coordination/state_test.cpp
+++ b/tests/coordination/state_test.cpp
@@ -54,12 +54,12 @@
         return restored(*whole);
     }
 
-    RC_GTEST_PROP(State, IsTheSameFromEverySnapshotWithEveryRedelivery, ())
+    RC_GTEST_PROP(State, IsTheSameAfterAnySnapshotAndRedelivery, ())
     {
         auto log = anyLog();
-        State whole = folded(log);
+        State whole = stateAfter(log);
         auto cut = *rc::gen::inRange<size_t>(0, log.size());
-        State reader = restoredFrom(folded({ log.begin(), log.begin() + static_cast<long>(cut) }));
+        State reader = restoredFrom(stateAfter({ log.begin(), log.begin() + static_cast<long>(cut) }));
         for (size_t i = *rc::gen::inRange<size_t>(0, cut + 1); i < log.size(); ++i) {
             reader.apply(log[i]);
             RC_ASSERT(reader.apply(log[*rc::gen::inRange<size_t>(0, i + 1)]) == Verdict::Duplicate);
@@ -91,10 +91,10 @@
         }
     }
 
-    RC_GTEST_PROP(State, TheConfigInForceNeverGoesBack, ())
+    RC_GTEST_PROP(State, ConfigVersionNeverDecreases, ())
     {
         auto log = anyLog();
-        State ahead = folded(log);
+        State ahead = stateAfter(log);
         State reader;
         Offset seen = 0;
         for (const LoggedRecord& record : log) {
@@ -108,7 +108,7 @@
         RC_ASSERT(reader.snapshot() == ahead.snapshot());
     }
 
-    TEST(Config, RacingOperatorsGetOneWinnerAndOneLoser)
+    TEST(Config, OneOfTwoConcurrentProposalsIsAccepted)
     {
         Fold fold;
         EXPECT_EQ(fold(ConfigProposal { 0, operatorsText(1), "first" }), Verdict::Accepted);
@@ -119,7 +119,7 @@
         EXPECT_EQ(fold->config()->text, operatorsText(2));
     }
 
-    TEST(Config, AnAdoptedTextDoesNotChangeHowTheRecordsBeforeItFold)
+    TEST(Config, AdoptedConfigDoesNotAffectEarlierRecords)
     {
         Fold fold;
         fold(ConfigProposal { 0, operatorsText(1), "op" });
@@ -148,13 +148,13 @@
     {
         Fold fold;
         fold(claimOf("r0", { "a", "b" }));
-        EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedBecause::EngineConfirmed }), Verdict::Outdated);
+        EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedReason::EngineConfirmed }), Verdict::Outdated);
         EXPECT_EQ(fold(ClaimEndProposal { 1, "scale_down" }), Verdict::Accepted);
         EXPECT_EQ(fold(ClaimEndProposal { 1, "scale_down" }), Verdict::Outdated);
         EXPECT_EQ(fold(claimOf("r1", { "a" })), Verdict::Outdated);
-        EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedBecause::EngineConfirmed }), Verdict::Accepted);
+        EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedReason::EngineConfirmed }), Verdict::Accepted);
         EXPECT_EQ(fold(claimOf("r1", { "a" })), Verdict::Accepted);
-        EXPECT_EQ(fold(HostsFreedProposal { 1, { "b" }, FreedBecause::HostDead }), Verdict::Accepted);
+        EXPECT_EQ(fold(HostsFreedProposal { 1, { "b" }, FreedReason::HostDead }), Verdict::Accepted);
         EXPECT_FALSE(fold->claims().contains(1)) << "a claim without hosts is removed";
     }
 
@@ -163,10 +163,10 @@
         Fold fold;
         fold(claimOf("r0", { "a", "b" }));
         fold(ClaimEndProposal { 1, "host_dead" });
-        fold(HostsFreedProposal { 1, { "a" }, FreedBecause::EngineConfirmed });
+        fold(HostsFreedProposal { 1, { "a" }, FreedReason::EngineConfirmed });
         EXPECT_EQ(fold(claimOf("r1", { "a" })), Verdict::Accepted);
         fold(ClaimEndProposal { 4, "scale_down" });
-        EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedBecause::EngineConfirmed }), Verdict::Outdated);
+        EXPECT_EQ(fold(HostsFreedProposal { 1, { "a" }, FreedReason::EngineConfirmed }), Verdict::Outdated);
         ASSERT_NE(fold->holder("a"), nullptr);
         EXPECT_EQ(fold->holder("a")->offset, 4u);
     }
@@ -195,7 +195,7 @@
         EXPECT_EQ(reader.offset(), 2u);
     }
 
-    TEST(Snapshots, AStaleOneChangesNothing)
+    TEST(Snapshots, OutdatedSnapshotChangesNothing)
     {
         Fold fold;
         fold(ConfigProposal { 0, operatorsText(1), "op" });
@@ -209,7 +209,7 @@
         EXPECT_EQ(fold(SnapshotProposal { 99, "future", 0, 1, "" }), Verdict::Invalid);
     }
 
-    TEST(Snapshots, AHoleInTheRecordsIsNotFoldedOver)
+    TEST(Snapshots, RecordAfterAGapIsInvalid)
     {
         State state;
         EXPECT_EQ(state.apply({ 2, { "id", claimOf("r0", { "a" }) } }), Verdict::Invalid);
@@ -238,18 +238,18 @@
         EXPECT_EQ(whole->state, fold->snapshot());
     }
 
-    TEST(Snapshots, TheLeaseHolderActsFirstAndTheOthersInItsPlace)
+    TEST(Snapshots, LeaseHolderTakesSnapshotsBeforeOthers)
     {
-        SnapshotDuty duty { Milliseconds(1000), Milliseconds(300), false, true, 0 };
-        EXPECT_TRUE(snapshotDue(duty));
-        duty.holdsLease = false;
-        EXPECT_FALSE(snapshotDue(duty));
-        duty.oldestNeededAge = Milliseconds(600);
-        EXPECT_TRUE(snapshotDue(duty));
-        duty.spread = 1;
-        EXPECT_FALSE(snapshotDue(duty));
-        duty.uncoveredExpired = true;
-        EXPECT_TRUE(snapshotDue(duty));
+        SnapshotConditions conditions { Milliseconds(1000), Milliseconds(300), false, true, 0 };
+        EXPECT_TRUE(isSnapshotDue(conditions));
+        conditions.holdsLease = false;
+        EXPECT_FALSE(isSnapshotDue(conditions));
+        conditions.oldestUncoveredAge = Milliseconds(600);
+        EXPECT_TRUE(isSnapshotDue(conditions));
+        conditions.spread = 1;
+        EXPECT_FALSE(isSnapshotDue(conditions));
+        conditions.uncoveredExpired = true;
+        EXPECT_TRUE(isSnapshotDue(conditions));
     }
 
 }
--- a/tests/daemon/weighedplacer_test.cpp
+++ b/tests/daemon/weighedplacer_test.cpp
@@ -26,7 +26,7 @@
             freeDomains = { { "d1", { "howrah", { "e", "f" } } }, { "d2", { "siliguri", { "g", "h" } } } };
         }
 
-        PlacementQuestion about(size_t service) const
+        PlacementRequest about(size_t service) const
         {
             return { text.services[service], text, claims, {}, freeDomains };
         }
