--- a/src/coordination/claimhealth.h
+++ b/src/coordination/claimhealth.h
@@ -8,40 +8,42 @@
 
 namespace Kumquatpick {
 
-// How one host of a claim is, in the life of it that was claimed.
-enum class HostHealth : uint8_t {
-    Present,
-    Silent, // Does not answer, for a short while.
+// State of one host of a claim, with respect to the incarnation of the host that the claim names.
+enum class HostCondition : uint8_t {
+    Healthy,
+    Unresponsive, // Has not answered probes, for less than unresponsiveTimeout.
     Leaving,
-    Lost, // Has not answered for long; it may still run.
-    Gone, // This life of it is over.
+    Unreachable, // Has not answered probes for at least unresponsiveTimeout; its engine may still run.
+    Dead, // The claimed incarnation no longer exists.
 };
 
-// Judges claims against what is known of their hosts. Lives for one round; the claims must outlive it.
+// Evaluates claims against the current views of their hosts. An instance is valid for one round; the claims must
+// outlive it.
 class ClaimHealth {
 public:
     ClaimHealth(const ControllerInput&, const ControllerSettings&);
 
-    HostHealth host(const ClaimProposal&, size_t rank) const;
-    const HostView* view(const ClaimProposal&, size_t rank) const;
+    HostCondition hostCondition(const ClaimProposal&, size_t rank) const;
+    const HostView* hostView(const ClaimProposal&, size_t rank) const;
 
-    bool whole(const Claim&) const;
-    bool ready(const Claim&) const;
-    // Why the claim can't be kept, or empty.
-    std::string_view broken(const Claim&) const;
-    // Whether nothing that an unload would cut off can still be running on an ending claim.
-    bool drained(const Claim&) const;
-    // Whether the engine's word can be trusted to be the last one: no order that may still arrive, from this
-    // node or from an earlier holder of the lease, would change it.
-    bool settled(const HostView&, Offset claim, FencingSupport, const LeaseTenure&) const;
+    bool allHostsHealthy(const Claim&) const;
+    bool isReady(const Claim&) const;
+    // The reason to end the claim, or empty if it can be kept.
+    std::string_view failureReason(const Claim&) const;
+    // True if no request can still be running on an ending claim, so that an unload interrupts nothing.
+    bool isDrained(const Claim&) const;
+    // True if the latest status of the engine is final: no order that may still arrive, from this node or from an
+    // earlier holder of the lease, can change it.
+    bool isStatusFinal(const HostView&, Offset claim, FencingSupport, const LeaseTenure&) const;
 
 private:
-    HostHealth silentHealth(const HostView&, uint64_t incarnation) const;
+    HostCondition conditionWithoutStatus(const HostView&, uint64_t incarnation) const;
 
     const ControllerInput& m_input;
     const ControllerSettings& m_settings;
-    // Each claim is judged several times a round, and there may be a hundred thousand hosts to look among.
-    mutable std::unordered_map<const ClaimProposal*, std::vector<const HostView*>> m_views;
+    // Caches the host views of each claim: a claim is evaluated several times a round, and the map may hold a hundred
+    // thousand hosts.
+    mutable std::unordered_map<const ClaimProposal*, std::vector<const HostView*>> m_viewsByClaim;
 };
 
 } // namespace Kumquatpick
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // Renewing at a third leaves time for two more tries.
+    // Renewing after a third of the duration leaves time for two more attempts.
     constexpr int renewalsPerDuration = 3;
 
-    // Proposals that were given up on; more than a few mean that the log is down.
-    constexpr size_t mostSent = 64;
+    // Limit for the proposals that were sent and never read; a larger number means that the log is down.
+    constexpr size_t maxPendingProposals = 64;
 
 }
 
@@ -27,11 +27,11 @@
     return { m_lease, m_current ? m_current->offset : 0, m_self, m_duration };
 }
 
-void LeaseTracker::sending(const std::string& id, MonotonicTime now)
+void LeaseTracker::recordSend(const std::string& id, MonotonicTime now)
 {
-    if (m_sent.size() >= mostSent)
-        m_sent.clear();
-    m_sent.emplace(id, now);
+    if (m_pendingProposals.size() >= maxPendingProposals)
+        m_pendingProposals.clear();
+    m_pendingProposals.emplace(id, now);
 }
 
 void LeaseTracker::folded(const LoggedRecord& logged, Verdict verdict, MonotonicTime readAt)
@@ -39,7 +39,7 @@
     auto* proposal = std::get_if<LeaseProposal>(&logged.record.body);
     if (!proposal || proposal->lease != m_lease)
         return;
-    auto sent = m_sent.extract(logged.record.id);
+    auto sent = m_pendingProposals.extract(logged.record.id);
     if (verdict != Verdict::Accepted)
         return;
     auto sentAt = sent ? std::optional(sent.mapped()) : std::nullopt;
@@ -55,8 +55,8 @@
         accept(*lease, std::nullopt, readAt);
 }
 
-// A renewal follows this node's own lease directly, so that nobody else can have held it in between, not even
-// if it lapsed meanwhile. An own lease whose sending this tracker did not see is of no use.
+// The record of a renewal directly follows this node's own lease, so no other node can have held the lease in between,
+// even if it expired before the renewal. An own lease whose send time is unknown to this tracker can't be used.
 void LeaseTracker::accept(const HeldLease& lease, std::optional<MonotonicTime> sentAt, MonotonicTime readAt)
 {
     bool own = lease.holder == m_self && sentAt.has_value();
@@ -65,18 +65,18 @@
     m_readAt = readAt;
     m_sentAt = own ? sentAt : std::nullopt;
     if (own && !renewal)
-        m_since = readAt;
+        m_tenureSince = readAt;
 }
 
-std::optional<LeaseTenure> LeaseTracker::held(MonotonicTime now) const
+std::optional<LeaseTenure> LeaseTracker::currentTenure(MonotonicTime now) const
 {
     if (!m_current || !m_sentAt)
         return std::nullopt;
-    LeaseTenure tenure { m_since, *m_sentAt + m_current->duration - m_margin };
+    LeaseTenure tenure { m_tenureSince, *m_sentAt + m_current->duration - m_margin };
     return now < tenure.until ? std::optional(tenure) : std::nullopt;
 }
 
-bool LeaseTracker::proposalDue(MonotonicTime now) const
+bool LeaseTracker::isProposalDue(MonotonicTime now) const
 {
     if (!m_current)
         return true;
--- a/src/coordination/slotmember.cpp
+++ b/src/coordination/slotmember.cpp
@@ -37,14 +37,12 @@
 
 void SlotMember::handle(const PermitRequest& request, WallTime now, SlotActions& actions)
 {
-    handleRequest({ false, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch,
-        now, actions);
+    handleRequest({ false, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch, now, actions);
 }
 
 void SlotMember::handle(const VoidRequest& request, WallTime now, SlotActions& actions)
 {
-    handleRequest({ true, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch,
-        now, actions);
+    handleRequest({ true, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch, now, actions);
 }
 
 void SlotMember::handleRequest(const ArrivalRequest& request, uint32_t epoch, WallTime now, SlotActions& actions)
@@ -90,9 +88,8 @@
     const RequestKey& requestKey = request.requestKey;
     if (auto pending = m_pendingSerials.find(requestKey.key); pending != m_pendingSerials.end()) {
         auto& waitingRequests = m_pendingRecords.at(pending->second).waitingRequests;
-        auto isDuplicate = [&](const ArrivalRequest& other) {
-            return other.arrival == request.arrival && other.isVoid == request.isVoid;
-        };
+        auto isDuplicate
+            = [&](const ArrivalRequest& other) { return other.arrival == request.arrival && other.isVoid == request.isVoid; };
         if (std::none_of(waitingRequests.begin(), waitingRequests.end(), isDuplicate))
             waitingRequests.push_back(request);
         return;
@@ -145,7 +142,7 @@
 
 void SlotMember::recordEntry(JournalEntry entry, const ArrivalRequest& request, SlotActions& actions)
 {
-    m_journal.keep(entry);
+    m_journal.keepLatest(entry);
     if (lacksWitness())
         return decideEntry(request, std::move(entry), actions);
     uint64_t serial = ++m_lastSerial;
@@ -168,8 +165,7 @@
     actions.push_back(SlotSend { m_assignment.witness, std::move(request) });
 }
 
-void SlotMember::reply(
-    const ArrivalRequest& request, PermitAnswer answer, const JournalEntry& entry, SlotActions& actions) const
+void SlotMember::reply(const ArrivalRequest& request, PermitAnswer answer, const JournalEntry& entry, SlotActions& actions) const
 {
     PermitReply reply;
     reply.slot = m_slot;
@@ -193,7 +189,7 @@
     reply.serial = request.serial;
     reply.kept = isCurrentEpoch && isFromOwner && isWitness() && m_holdsJournal && !isSealRefusal;
     if (reply.kept && m_guards.witnessKeepsLatestEntry)
-        m_journal.keep(request.entry);
+        m_journal.keepLatest(request.entry);
     else if (reply.kept)
         m_journal.replace(request.entry);
     actions.push_back(SlotSend { request.owner, reply });
@@ -264,10 +260,7 @@
     return missing;
 }
 
-NodeId SlotMember::copyKey(const NodeId& proposer) const
-{
-    return m_guards.copiesKeyedByProposer ? proposer : NodeId {};
-}
+NodeId SlotMember::copyKey(const NodeId& proposer) const { return m_guards.copiesKeyedByProposer ? proposer : NodeId {}; }
 
 // Copies are kept apart from the journal until the log decides which proposer's copy the next epoch starts from.
 void SlotMember::handle(const CopyRequest& request, WallTime, SlotActions& actions)
@@ -278,7 +271,7 @@
     if (copy.proposer != request.proposer.id)
         copy = { request.proposer.id, request.parts, {}, {} };
     if (copy.receivedParts.insert(request.part).second)
-        copy.journal.take(request);
+        copy.journal.merge(request);
     CopyReply reply;
     reply.slot = m_slot;
     reply.epoch = request.epoch;
--- a/tests/coordination/slotproperty_test.cpp
+++ b/tests/coordination/slotproperty_test.cpp
@@ -296,6 +296,7 @@
 } // namespace
 
 // Random steps over several keys and slots must not violate at-most-once execution.
+
 RC_GTEST_PROP(SlotProperty, RandomStepsNeverViolateAtMostOnce, ())
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
@@ -309,9 +310,8 @@
 TEST(SlotProperty, RandomStepsDetectDisabledGuards)
 {
     for (auto guard : { &SlotGuards::grantWaitsForWitness, &SlotGuards::voidWaitsForWitness,
-             &SlotGuards::voidedAttemptsAreRefused, &SlotGuards::onlyHolderVoidsGrant,
-             &SlotGuards::cancelledArrivalIgnoresGrant, &SlotGuards::membersMatchByIncarnation,
-             &SlotGuards::keysBeforeResetExpire, &SlotGuards::sealedOwnerGivesNoVerdict }) {
+             &SlotGuards::voidedAttemptsAreRefused, &SlotGuards::onlyHolderVoidsGrant, &SlotGuards::cancelledArrivalIgnoresGrant,
+             &SlotGuards::membersMatchByIncarnation, &SlotGuards::keysBeforeResetExpire, &SlotGuards::sealedOwnerGivesNoVerdict }) {
         SlotGuards guards;
         guards.*guard = false;
         uint64_t seed = 1;
@@ -330,7 +330,7 @@
     Journal journal;
     size_t latest = 0;
     for (size_t index : order) {
-        journal.keep(entries[index]);
+        journal.keepLatest(entries[index]);
         latest = std::max(latest, index);
     }
     RC_PRE(!order.empty());
@@ -338,6 +338,7 @@
 }
 
 // A journal that is split into parts and merged in another order must have the same entries.
+
 RC_GTEST_PROP(SlotProperty, JournalSurvivesSplittingAndMergingInAnyOrder, ())
 {
     auto keys = *rc::gen::container<std::set<std::string>>(rc::gen::arbitrary<std::string>());
@@ -349,13 +350,13 @@
         entry.key = key;
         entry.issuedAt = start + Milliseconds(1);
         entry.holderNode.id.name = key;
-        journal.keep(entry);
+        journal.keepLatest(entry);
     }
     auto parts = journal.split(perPart);
     std::reverse(parts.begin(), parts.end());
     Journal copy;
     for (const CopyRequest& part : parts)
-        copy.take(part);
+        copy.merge(part);
     RC_ASSERT(copy.size() == keys.size());
     RC_ASSERT(copy.forgottenBefore() == start);
     for (const std::string& key : keys)
@@ -363,6 +364,7 @@
 }
 
 // Minted keys must parse to the values that they were formatted from.
+
 RC_GTEST_PROP(SlotProperty, MintedKeyContainsSlotAndIssueTime, ())
 {
     MintedKey minted;
