--- a/src/caller/abandoned.h
+++ b/src/caller/abandoned.h
@@ -7,8 +7,8 @@
 
 namespace Kumquatpick {
 
-// Arrivals of this node that stopped waiting for their permit, so were never dispatched, whatever a journal
-// granted them later. Holds the latest ones; an older one is only told more carefully. Thread-safe.
+// Serials of this node's arrivals that ended without a permit and were never dispatched, even if a journal grants
+// the permit later. Keeps the latest ones; for a dropped serial the caller is told "may have run". Thread-safe.
 class AbandonedArrivals {
 public:
     void add(uint64_t serial)
--- a/src/caller/answers.cpp
+++ b/src/caller/answers.cpp
@@ -114,7 +114,7 @@
         shard.entries.erase(found);
 }
 
-// Running ones are left: there are no more of them than threads that serve.
+// Running requests are not dropped. Their number is limited by the number of server threads.
 void AnswerStore::dropOld(Shard& shard, MonotonicTime now)
 {
     while (!shard.ended.empty()) {
--- a/src/caller/answers.h
+++ b/src/caller/answers.h
@@ -14,43 +14,44 @@
 
 namespace Kumquatpick {
 
-// What is kept under a key; its fingerprint tells one caller's request from another's with the same key.
+// Identifies a stored answer. The fingerprint distinguishes requests of different content under the same key.
 struct AnswerKey {
     std::string key;
     uint64_t fingerprint = 0;
     std::string team {};
 
-    // What another node is handed to find the answer by, and reads again here.
+    // Text form that is sent to the node that stores the answer and parsed there by fromLookup(). Does not contain
+    // the team.
     std::string lookup() const;
     static AnswerKey fromLookup(std::string_view);
 };
 
-// Answers of non-repeatable requests, running and finished ones, so that a resend is told the same again.
-// Bounded in bytes and time; what was dropped is still held by the journals as granted. Thread-safe.
+// Running and finished non-repeatable requests, so that a resend gets the same answer. Ended requests are dropped by
+// size and age; the journals still record the permit of a dropped one as granted. Thread-safe.
 class AnswerStore {
 public:
     enum class State : uint8_t {
         Unknown,
-        Running, // An arrival of the key is being served here.
+        Running, // This node is serving an arrival with this key.
         Finished,
-        Lost, // It was dispatched and its whole answer is not here (any more).
-        OtherRequest, // The key was used for a request of other content.
+        Lost, // The request was dispatched, but its complete answer is not stored.
+        OtherRequest, // The key was used for a request with other content or by another team.
     };
 
     struct Found {
         State state = State::Unknown;
-        StoredAnswer answer; // If Finished.
+        StoredAnswer answer; // Set if the state is Finished.
     };
 
     AnswerStore(size_t bytes, Milliseconds lifetime);
 
-    // Takes the key for an arrival if nothing is known of it: then, and only then, Unknown.
+    // Returns the state of the key. If it is Unknown, the key is now reserved as Running for this arrival.
     Found begin(const AnswerKey&, MonotonicTime now);
     Found find(const AnswerKey&, MonotonicTime now);
-    // By key alone, for whoever knows the key and its team.
+    // Looks up by key and team, without the fingerprint.
     Found findByKey(const std::string& key, std::string_view team, MonotonicTime now);
 
-    // Each begun key comes to one of these ends; forget() if it was never dispatched.
+    // Every key reserved by begin() must end with one of these; with forget() if it was never dispatched.
     void finish(const AnswerKey&, StoredAnswer, MonotonicTime now);
     void lose(const AnswerKey&, MonotonicTime now);
     void forget(const AnswerKey&);
--- a/src/caller/chatbody.cpp
+++ b/src/caller/chatbody.cpp
@@ -26,7 +26,7 @@
         bool start_object(size_t) override { return enter(); }
         bool parse_error(size_t, const std::string&, const nlohmann::json::exception&) override { return false; }
 
-        // The whole must be an object.
+        // The top-level value must be an object.
         bool start_array(size_t) override { return m_depth > 0 && enter(); }
 
         bool key(string_t& key) override
--- a/src/caller/chatbody.h
+++ b/src/caller/chatbody.h
@@ -8,17 +8,18 @@
 
 namespace Kumquatpick {
 
-// What routing needs of an OpenAI-style chat request; the rest is the engine's business.
+// The parts of an OpenAI-style chat request that routing needs. The engine interprets the rest.
 struct ChatBody {
-    std::string model; // Names the service.
+    std::string model; // The name of the service.
     bool stream = false;
     std::string prompt; // The messages' text contents joined by newlines.
 };
 
-// Reads without building a tree, in bounded depth. Nothing if it is not JSON, no object, or without a model.
+// Parses with limited nesting depth and without building a tree. Returns nullopt if the text is not a JSON object or
+// has no model.
 std::optional<ChatBody> parseChatBody(std::string_view json);
 
-// Hashes of the prompt's first 256, 512, 1024, ... bytes, as engines name their cached prefixes.
+// Hashes of the prompt's first 256, 512, 1024, ... bytes, which engines use as identifiers of cached prefixes.
 std::vector<uint64_t> promptPrefixes(std::string_view prompt);
 
 } // namespace Kumquatpick
--- a/src/caller/collaborators.h
+++ b/src/caller/collaborators.h
@@ -22,7 +22,7 @@
 class SuspicionTable;
 class TraceExporter;
 
-// A live node as callers may be pointed to it.
+// A live node that callers may be directed to.
 struct EntryNode {
     Address address;
     std::string zone;
@@ -30,9 +30,9 @@
     bool stopping = false;
 };
 
-// An operator's publish, read and checked for form.
+// A parsed request of an operator to publish a text. Only its form has been checked.
 struct PublishRequest {
-    std::string id; // 32 hexadecimal digits, made by the operator's tool; the same id is the same publish.
+    std::string id; // 32 hexadecimal digits, chosen by the operator's tool. Requests with the same id count as one.
     Offset basedOn = 0;
     std::string text;
     std::string operatorName;
@@ -43,16 +43,15 @@
         Accepted,
         Outdated,
         Invalid,
-        Undecided, // The log does not answer; repeating with the same id is safe.
+        Undecided, // The log did not answer. Repeating the request with the same id is safe.
     };
 
     Kind kind = Kind::Undecided;
-    Offset version = 0; // The new one if accepted, the current one if outdated.
-    std::vector<TextFault> faults; // If invalid.
+    Offset version = 0; // The new version if accepted, the current one if outdated.
+    std::vector<TextFault> faults; // Set if invalid.
 };
 
-// What the caller-facing server works with. All of it is called from many threads at once and must outlive
-// the server.
+// Dependencies of the caller-facing server. All are used by many threads at once and must outlive the server.
 struct Collaborators {
     NodeInfo self;
     Admission& admission;
@@ -63,21 +62,21 @@
     Metrics& metrics;
     TraceExporter& traces;
 
-    // BackendCaller::start; SlotService::permit, makeVoid and mintKey.
+    // Implemented by BackendCaller::start() and by SlotService::permit(), makeVoid() and mintKey().
     std::function<Result<std::unique_ptr<BackendCall>>(BackendRequest)> startCall;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime deadline)> permit;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime deadline)> makeVoid;
     std::function<std::string(WallTime)> mintKey;
-    // An answer kept at another node (NodeTransport::fetchAnswer). The second argument is a lookup text that the
-    // other node hands to its CallerServer::storedAnswer() as it is.
+    // Fetches an answer stored by another node (NodeTransport::fetchAnswer). The second argument is a lookup text that
+    // the other node passes unchanged to its CallerServer::storedAnswer().
     std::function<Result<StoredAnswer>(const NodeInfo&, const std::string& lookup)> fetchAnswer;
 
-    // The accepted operators' text; nullptr while none is known: nothing is served then.
+    // The accepted operators' text, or nullptr while none is known; no requests are served until then.
     std::function<std::shared_ptr<const OperatorsText>()> text;
     std::function<bool()> ready;
-    std::function<std::vector<EntryNode>()> entryNodes; // This one included.
+    std::function<std::vector<EntryNode>()> entryNodes; // Includes this node.
 
-    // Operators.
+    // For the operators' endpoints.
     std::function<AcceptedText()> acceptedText;
     std::function<PublishOutcome(const PublishRequest&)> publish;
     std::function<nlohmann::json()> status;
--- a/src/caller/connection.cpp
+++ b/src/caller/connection.cpp
@@ -48,7 +48,7 @@
         return method == "POST" || method == "PUT" || method == "PATCH" || method == "DELETE" || method == "PRI";
     }
 
-    // A target is handed on to backend servers, so nothing in it may end its line early.
+    // The target is forwarded to backend servers, so it must not contain bytes that end the request line.
     bool isPlainTarget(std::string_view target)
     {
         auto plain = [](char c) { return c > ' ' && c < 0x7f; };
@@ -103,35 +103,35 @@
     request.headers.erase("Range");
     request.ranges.clear();
     checkFraming(request);
-    // Chunk headers come on top of the body.
+    // Chunk headers add to the bytes of the body.
     m_readLimit = m_headBytes + m_settings.bodyLimitBytes + m_settings.bodyLimitBytes / 4 + m_settings.headerLimitBytes;
 }
 
-// Two readings of where a body ends would let one caller's bytes be taken for another request.
+// Rejects ambiguous body lengths, as part of a body could otherwise be parsed as another request.
 void CallerConnection::checkFraming(httplib::Request& request)
 {
     if (!isPlainTarget(m_line.target))
-        m_line.problem = "the target is no plain path";
+        m_line.problem = "the request target must be a path of printable ASCII characters";
     std::string encoding = takeHeader(request, "Content-Encoding");
     if (!encoding.empty() && encoding != "identity")
-        m_line.problem = "encoded bodies are not read";
+        m_line.problem = "encoded request bodies are not supported";
     size_t lengths = request.get_header_value_count("Content-Length");
     bool transferEncoding = request.has_header("Transfer-Encoding");
     if (lengths > 1 || (lengths > 0 && transferEncoding))
-        m_line.problem = "more than one length";
+        m_line.problem = "the request has more than one body length";
     if (transferEncoding && request.get_header_value("Transfer-Encoding") != "chunked")
-        m_line.problem = "unknown transfer encoding";
+        m_line.problem = "unsupported transfer encoding";
     if (lengths == 1) {
         auto length = parseLength(request.get_header_value("Content-Length"));
         if (!length)
-            m_line.problem = "unreadable length";
+            m_line.problem = "invalid Content-Length";
         m_bodyBytes = length.value_or(0);
         m_bodyHasLength = length.has_value();
     } else if (transferEncoding) {
         m_bodyHasLength = false;
         request.set_header("Connection", "close");
     } else if (mayHaveBody(request.method)) {
-        // Without a length there is no body; the library would wait for the end of the connection.
+        // Without a length there is no body. The library would read until the end of the connection.
         request.set_header("Content-Length", "0");
     }
 }
@@ -209,7 +209,7 @@
     return static_cast<ssize_t>(count);
 }
 
-// Writes all of it or fails; a caller that takes nothing for the stall timeout is given up.
+// Writes all bytes or fails. Fails if the caller accepts no bytes for the stall timeout.
 ssize_t CallerConnection::write(const char* data, size_t size)
 {
     size_t sent = 0;
--- a/src/caller/connection.h
+++ b/src/caller/connection.h
@@ -10,19 +10,19 @@
 
 namespace Kumquatpick {
 
-// What the HTTP library would treat in its own way, taken out of a request before it does: it would decode
-// forms and encodings, cut answers to ranges and match paths by recursive regular expressions.
+// Parts of a request that are removed before the HTTP library processes them. The library would decode forms and
+// content encodings, cut answers to byte ranges and match paths with recursive regular expressions.
 struct RequestLine {
     std::string target; // Path and query as sent.
     std::string contentType;
-    std::string problem; // Why the framing can't be trusted; empty if it can.
+    std::string problem; // Why the framing is invalid; empty if it is valid.
 
-    // The target up to its query.
+    // The target without its query.
     std::string_view path() const;
 };
 
-// One caller's connection: a socket with the limits that the library lacks on what a slow or hostile caller
-// may cost. Used by one thread at a time.
+// A caller's connection. Adds the limits on time and bytes that the library lacks against slow or hostile callers.
+// Used by one thread at a time.
 class CallerConnection : public httplib::Stream {
 public:
     CallerConnection(int socket, const CallerSettings&);
@@ -30,30 +30,30 @@
     CallerConnection(const CallerConnection&) = delete;
     CallerConnection& operator=(const CallerConnection&) = delete;
 
-    // The one whose request this thread serves; nullptr outside of a request.
+    // The connection whose request this thread is serving, or nullptr.
     static CallerConnection* ofThisThread();
 
-    // Starts the clock and the byte counts of a request.
+    // Starts the read timeout and resets the byte counts for the next request.
     void beginRequest();
-    // The head is read: what follows counts against the limit of bodies. Changes the request so that the
-    // library reads its body as plain bytes and answers it whole.
+    // Called once the head is read. Applies the body limit to the bytes that follow and changes the request so that
+    // the library reads its body as plain bytes and sends the complete response.
     void headRead(httplib::Request&);
     const RequestLine& line() const { return m_line; }
 
-    // Whether the request was read to its end, so that another one may follow.
+    // Whether the request was read to its end, so that the next bytes start another request.
     bool bodyConsumed() const;
     bool hasBuffered() const { return m_position < m_buffer.size(); }
     bool overLimit() const { return m_overLimit; }
-    // Of the request in progress.
+    // These refer to the request in progress.
     bool anythingRead() const { return m_read > 0; }
     bool anythingWritten() const { return m_written > 0; }
 
-    // The caller closed its end or the connection broke.
+    // Whether the caller closed its end or the connection broke.
     bool callerGone() const;
-    // Best effort and without waiting: for refusals from the accepting thread.
+    // Sends without blocking and ignores failures. Used by the accept thread for refusals.
     void writeNow(std::string_view);
     void shutdownWriting();
-    // Ends what another thread waits for on this socket.
+    // Shuts down the socket, which unblocks a thread that waits on it.
     void cut();
 
     bool is_readable() const override;
@@ -78,16 +78,16 @@
 
     RequestLine m_line;
     MonotonicTime m_readBy {};
-    size_t m_read = 0; // Bytes that the library took of the request in progress.
+    size_t m_read = 0; // Bytes of the request in progress that the library has read.
     size_t m_readLimit = 0;
     size_t m_headBytes = 0;
-    size_t m_bodyBytes = 0; // By its Content-Length.
+    size_t m_bodyBytes = 0; // The value of Content-Length.
     bool m_bodyHasLength = true;
     bool m_overLimit = false;
     size_t m_written = 0;
 };
 
-// Marks a connection as this thread's while a request of it is served.
+// Sets the connection that CallerConnection::ofThisThread() returns for the lifetime of this object.
 class CurrentConnection {
 public:
     explicit CurrentConnection(CallerConnection&);
--- a/src/caller/dispatch.cpp
+++ b/src/caller/dispatch.cpp
@@ -12,12 +12,12 @@
 namespace {
 
     constexpr size_t mostTries = 4;
-    // A replica chosen by the router may have stopped serving by the directory's newer word.
+    // The router may choose a replica that the directory, which is more recent, no longer lists as serving.
     constexpr size_t mostChoices = 8;
-    // How soon it is noticed that a caller left before its answer began.
+    // Interval of the checks whether the caller has disconnected before its answer began.
     constexpr Milliseconds callerCheckPeriod { 100 };
 
-    // An engine that says one of these did not run the request. A plain service says them for itself.
+    // With these statuses an engine reports that it did not run the request. From a plain service they are answers.
     bool saysNotRun(int status) { return status == 409 || status == 503; }
 
     DispatchEnd dispatchEnd(ErrorCode code)
@@ -31,14 +31,14 @@
 
 }
 
-// Tries replicas until one has begun its answer. Nothing was passed to the caller until then.
+// Tries replicas until one has begun its answer. Nothing is sent to the caller before that.
 Serving::StepResult Serving::dispatch()
 {
     m_parts.retryBudget.recordFirstAttempt(m_request.service, monotonicNow());
     std::optional<Refusal> latest;
     for (;;) {
         if (m_connection->callerGone())
-            return refusal(Outcome::NotRun, RefusalType::DeadlinePassed, Step::Dispatch, "the caller went away");
+            return refusal(Outcome::NotRun, RefusalType::DeadlinePassed, Step::Dispatch, "the caller disconnected");
         if (StepResult stopped = checkPoison())
             return stopped;
         auto replica = chooseReplica();
@@ -128,8 +128,9 @@
     return {};
 }
 
-// A prompt may be at work for long before its first byte, and an engine that is not told works on for nobody.
-// The answer of a request that is not repeatable is waited for, as it can't be had a second time.
+// Waits until the call is readable. An engine may process a prompt for long before it sends its first byte, so the
+// wait ends if the caller disconnects, which cancels the request. A non-repeatable request is not cancelled if its
+// answer is stored for a resend, as it can't run a second time.
 Result<void> Serving::awaitEngine()
 {
     while (!m_call->waitReady(callerCheckPeriod)) {
@@ -155,13 +156,13 @@
         m_parts.router.backoffRequested(m_request.service, m_replica.replica, m_head.retryAfter, monotonicNow());
     if (refuses)
         return fail({ ErrorCode::Refused, Step::Dispatch, m_replica.leader.toString(),
-            fmt::format("it answered {}", m_head.status) });
+            fmt::format("the backend server answered with status {}", m_head.status) });
     m_sent = true;
     return {};
 }
 
-// A whole answer of moderate size is read before its head is passed on: one that breaks is then a plain error,
-// and a repeatable request can go to another replica.
+// Reads an answer up to a moderate size before its head is sent to the caller. If the answer breaks off before that,
+// the caller gets a plain error response, or a repeatable request is sent to another replica.
 Result<void> Serving::readBeginning()
 {
     m_bodyEnded = false;
@@ -202,7 +203,7 @@
         && m_parts.retryBudget.takeRetry(m_request.service, now);
 }
 
-// Once one try may have reached a backend server, no later one makes "not run" true again.
+// Once one try may have reached a backend server, the outcome is never "not run", whatever later tries do.
 Refusal Serving::dispatchRefusal(const Error& error) const
 {
     Refusal refused = refusal(Outcome::NotRun, RefusalType::NoReplica, error.step, describe(error));
@@ -228,7 +229,7 @@
 
 Refusal Serving::noReplica() const
 {
-    return refusal(Outcome::NotRun, RefusalType::NoReplica, Step::Route, "no replica may take it now");
+    return refusal(Outcome::NotRun, RefusalType::NoReplica, Step::Route, "no replica is available for the request");
 }
 
 } // namespace Kumquatpick
--- a/src/caller/entries.cpp
+++ b/src/caller/entries.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-    // Streams that weigh as much as being there at all, so that a few streams of difference turn little.
+    // Added to the streams of each node, so that a difference of a few streams changes the weights little.
     constexpr double baseStreams = 16;
-    // Of nodes in other zones while the caller's own has some: enough to fail over to, hardly any load.
+    // Weight factor of nodes in other availability zones while the caller's own has any. They are listed for failover
+    // and should get hardly any load.
     constexpr double otherZoneWeight = 0.02;
 
     struct Ranked {
@@ -20,7 +21,7 @@
         double score = 0; // Lower comes first.
     };
 
-    // Weighted rendezvous hashing: each caller's first place falls to a node in proportion to its weight.
+    // Weighted rendezvous hashing: each node is first for a share of the callers in proportion to its weight.
     double rendezvousScore(std::string_view caller, const Address& address, double weight)
     {
         uint64_t hash = hash64(address.toString(), hash64(caller));
--- a/src/caller/entries.h
+++ b/src/caller/entries.h
@@ -10,15 +10,16 @@
 
 namespace Kumquatpick {
 
-// One address in the answer to a caller that asks which nodes to call.
+// One node in the list of nodes that a caller should call.
 struct EntryChoice {
     Address address;
     std::string zone;
     double weight = 0; // Above 0, at most 1.
 };
 
-// Which nodes a caller should call, best first: its own zone before others, the less loaded with more weight,
-// stopping ones left out. Callers are spread by their name, and one caller keeps its order while nodes stay.
+// Nodes that a caller should call, best first. Nodes in the caller's availability zone come before others, less loaded
+// nodes have more weight, and stopping nodes are left out. The order depends on the caller's name, which spreads
+// callers over nodes, and is the same for each call with the same nodes and loads.
 std::vector<EntryChoice> chooseEntries(std::span<const EntryNode>, std::string_view zone, std::string_view caller);
 
 } // namespace Kumquatpick
--- a/src/caller/explain.cpp
+++ b/src/caller/explain.cpp
@@ -11,7 +11,7 @@
 
 void RecentRequests::add(std::shared_ptr<const RequestTrail> trail)
 {
-    std::shared_ptr<const RequestTrail> dropped; // Destroyed outside of the lock.
+    std::shared_ptr<const RequestTrail> dropped; // Destroyed after the lock is released.
     std::lock_guard lock(m_mutex);
     if (m_order.size() >= m_limit) {
         dropped = std::move(m_order.front());
--- a/src/caller/explain.h
+++ b/src/caller/explain.h
@@ -11,20 +11,20 @@
 
 class RequestTrail;
 
-// The latest requests of this node, for /v1/explain; a bounded ring. Thread-safe.
+// The latest requests of this node, for /v1/explain. Drops the oldest above its limit. Thread-safe.
 class RecentRequests {
 public:
     explicit RecentRequests(size_t limit);
 
     void add(std::shared_ptr<const RequestTrail>);
-    // nullptr if it was never here or is no longer among the latest.
+    // Returns nullptr if the request was not served by this node or was dropped.
     std::shared_ptr<const RequestTrail> find(std::string_view requestId) const;
 
 private:
     size_t m_limit;
     mutable std::mutex m_mutex;
     std::deque<std::shared_ptr<const RequestTrail>> m_order; // Oldest first.
-    // The names live in the trails that m_order holds.
+    // The keys refer to ids in the objects that m_order holds.
     std::unordered_map<std::string_view, std::shared_ptr<const RequestTrail>> m_byId;
 };
 
--- a/src/caller/httpserver.cpp
+++ b/src/caller/httpserver.cpp
@@ -7,7 +7,7 @@
     constexpr size_t requestsPerConnection = 1'000'000;
     constexpr CallerConnection* endOfWork = nullptr;
 
-    // The response of a request so broken that the library closes the connection without a word.
+    // The response to a request so malformed that the library closes the connection without a response.
     std::string unreadableAnswer(const httplib::Response& response)
     {
         std::string text
@@ -35,7 +35,7 @@
 
 HttpServer::~HttpServer() { stopNow(); }
 
-// CallerConnection shows every request to the library under the path "/", so that one route is all there is.
+// CallerConnection sets the path of every request to "/", so a single route handles all paths.
 void HttpServer::setUpRoutes()
 {
     auto handle = [this](const httplib::Request& request, httplib::Response& response) {
@@ -47,7 +47,7 @@
     Patch("/", handle);
     Delete("/", handle);
     Options("/", handle);
-    // Before the body is read: the framing must be sound to read it.
+    // Runs before the body is read, as reading it requires valid framing.
     set_pre_routing_handler([](const httplib::Request&, httplib::Response& response) {
         if (CallerConnection::ofThisThread()->line().problem.empty())
             return HandlerResponse::Unhandled;
@@ -69,7 +69,7 @@
     for (size_t i = 0; i < m_settings.threads; ++i)
         m_threads.emplace_back([this] { work(); });
     BOOST_LEAF_CHECK(m_listener.start());
-    // The library ends streams once this is unset.
+    // The library ends streams once this is INVALID_SOCKET.
     svr_sock_ = m_listener.socket();
     return {};
 }
@@ -91,7 +91,7 @@
     m_threads.clear();
 }
 
-// A connection is queued only for a thread that has nothing else to do.
+// Queues the connection if a thread is idle, otherwise returns it.
 std::unique_ptr<CallerConnection> HttpServer::serve(std::unique_ptr<CallerConnection> connection)
 {
     if (m_idleThreads.fetch_sub(1) <= 0) {
@@ -136,7 +136,7 @@
         m_listener.closeGently(std::move(connection));
 }
 
-// True if the connection may carry another request.
+// Returns true if the connection may be used for another request.
 bool HttpServer::serveOne(CallerConnection& connection)
 {
     ++m_inProgress;
--- a/src/caller/httpserver.h
+++ b/src/caller/httpserver.h
@@ -14,14 +14,14 @@
 
 namespace Kumquatpick {
 
-// cpp-httplib's server with its accept loop, thread pool and socket reading replaced, as those bound neither
-// waiting connections nor the bytes and time that a request may take to arrive. Reading of requests and writing
-// of responses stay the library's.
+// cpp-httplib's server with its accept loop, thread pool and socket reading replaced, as those limit neither
+// waiting connections nor the bytes and time that a request may take to arrive. The library still parses requests
+// and writes responses.
 class HttpServer : private httplib::Server {
 public:
     // Called on a pool thread; the response may have a content provider, which runs on the same thread.
     using Handle = std::function<void(const httplib::Request&, const RequestLine&, httplib::Response&)>;
-    // Gives a typed body to an error that the library or a limit found. The status is set.
+    // Writes the error body for an error reported by the library or a limit. The response's status is already set.
     using HandleError = std::function<void(const httplib::Request&, httplib::Response&)>;
 
     HttpServer(const CallerSettings&, Handle, HandleError, std::string busyAnswer);
@@ -29,11 +29,11 @@
 
     Result<void> start();
     uint16_t port() const { return m_listener.port(); }
-    // Takes no more connections and closes those without a request in progress.
+    // Stops accepting connections and closes those without a request in progress.
     void stopListening() { m_listener.stop(); }
-    // Cuts off every request in progress.
+    // Aborts every request in progress.
     void stopNow();
-    // Requests being read, served or written.
+    // Number of requests being read, served or answered.
     size_t inProgress() const { return m_inProgress; }
 
 private:
@@ -50,7 +50,7 @@
     Listener m_listener;
     std::atomic<int64_t> m_idleThreads { 0 };
     std::atomic<size_t> m_inProgress { 0 };
-    tbb::concurrent_bounded_queue<CallerConnection*> m_waiting; // Never more than there are idle threads.
+    tbb::concurrent_bounded_queue<CallerConnection*> m_waiting; // At most as many as there are idle threads.
     std::vector<std::thread> m_threads;
     std::mutex m_activeMutex;
     std::set<CallerConnection*> m_active;
--- a/src/caller/listener.cpp
+++ b/src/caller/listener.cpp
@@ -20,7 +20,7 @@
     constexpr size_t watchedLimit = 8192;
     constexpr Milliseconds tick { 100 };
     constexpr Milliseconds gentleClose { 1'000 };
-    // Without a free descriptor accept() fails at once, again and again.
+    // Without a free descriptor accept() fails at once, so the loop would use a full core without this pause.
     constexpr Milliseconds acceptPause { 10 };
 
     struct BindAddress {
@@ -53,7 +53,7 @@
         sockaddr_storage bound {};
         socklen_t length = sizeof bound;
         getsockname(socket, reinterpret_cast<sockaddr*>(&bound), &length);
-        // The port lies at the same place for both families.
+        // The port has the same offset in both address families.
         return ntohs(reinterpret_cast<const sockaddr_in&>(bound).sin_port);
     }
 
@@ -84,7 +84,7 @@
     };
     auto address = bindAddress(m_settings.ip, m_settings.port);
     if (!address)
-        return refused("not an IP number");
+        return refused("not a numeric IP address");
     m_socket = ::socket(address->storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     int on = 1;
     setsockopt(m_socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -163,14 +163,14 @@
         refuseBusy(std::move(refused));
 }
 
-// Nothing was read of the request, so nothing more can be said than to ask again.
+// The request was not read, so the response can only ask the caller to retry.
 void Listener::refuseBusy(std::unique_ptr<CallerConnection> connection)
 {
     connection->writeNow(m_busyAnswer);
     closeGently(std::move(connection));
 }
 
-// True if the socket is one that is only being closed.
+// Discards the input of a socket that is being closed. Returns false for any other socket.
 bool Listener::dropInput(int socket)
 {
     std::lock_guard lock(m_mutex);
--- a/src/caller/listener.h
+++ b/src/caller/listener.h
@@ -12,14 +12,14 @@
 
 namespace Kumquatpick {
 
-// One thread that accepts connections and watches those without a request in progress, so that an idle caller
-// costs no thread of the pool.
+// A thread that accepts connections and polls those without a request in progress, so that idle connections occupy
+// no thread of the pool.
 class Listener {
 public:
-    // Takes a connection with something to read, or hands it back if every thread is busy.
+    // Takes over a readable connection, or returns it if every thread is busy.
     using Serve = std::function<std::unique_ptr<CallerConnection>(std::unique_ptr<CallerConnection>)>;
 
-    // busyAnswer: what a caller is sent when nobody has time for it.
+    // busyAnswer is the response that is sent if every thread is busy.
     Listener(const CallerSettings&, Serve, std::string busyAnswer);
     ~Listener();
 
@@ -29,10 +29,10 @@
     uint16_t port() const { return m_port; }
     void stop();
 
-    // Watches a connection for its next request.
+    // Polls an idle connection for its next request.
     void park(std::unique_ptr<CallerConnection>);
-    // Closes a connection of which not all was read. Closing at once would reset it, and the caller might
-    // lose the answer that was just sent; so what it still sends is read and dropped for a while.
+    // Closes a connection that may have unread input. Closing at once would reset it, and the caller might lose the
+    // answer that was just sent. Input is therefore read and discarded for up to one second before.
     void closeGently(std::unique_ptr<CallerConnection>);
 
 private:
--- a/src/caller/outcome.cpp
+++ b/src/caller/outcome.cpp
@@ -45,8 +45,8 @@
         respondStored(std::get<StoredAnswer>(ending), response);
 }
 
-// "Not run" is a promise about the whole attempt: an earlier arrival of it may wait at another node. So it is
-// said only once the attempt is void at owner and witness; until then nothing is promised.
+// "Not run" applies to the whole attempt, of which an earlier arrival may be waiting at another node. It is therefore
+// sent only once the attempt is void at the slot's owner and witness; otherwise the outcome is "undecided".
 Serving::Ending Serving::confirm(Refusal refused)
 {
     bool isPromise = refused.outcome == Outcome::NotRun && refused.type != RefusalType::Voided;
@@ -87,7 +87,7 @@
     }
     m_context.abandoned.add(m_arrival.serial);
     return refusal(
-        Outcome::Undecided, RefusalType::Undecided, Step::Permit, "the key's owner or witness does not answer");
+        Outcome::Undecided, RefusalType::Undecided, Step::Permit, "the owner or witness of the key did not answer");
 }
 
 Refusal Serving::refusal(Outcome outcome, RefusalType type, Step step, std::string message) const
@@ -104,10 +104,10 @@
 
 Refusal Serving::expired() const
 {
-    return { Outcome::MayHaveRun, RefusalType::KeyExpired, "the key is older than what is remembered", Step::Permit };
+    return { Outcome::MayHaveRun, RefusalType::KeyExpired, "the key is older than the retention period", Step::Permit };
 }
 
-// Another arrival of the key has the permit. Its node has the answer, or will have.
+// Another arrival with this key holds the permit. Fetches the answer from the node of that arrival.
 Serving::Ending Serving::answerOfHolder(const JournalEntry& entry)
 {
     if (entry.grantedAt.id == m_parts.self.id)
@@ -117,23 +117,25 @@
     hop.setPeer(peer);
     auto settled = settle([&] { return m_parts.fetchAnswer(entry.grantedAt, answerKey().lookup()); });
     auto* answer = std::get_if<StoredAnswer>(&settled);
-    hop.end(answer ? "asked" : describe(std::get<Error>(settled)), !answer);
+    hop.end(answer ? "answer state received" : describe(std::get<Error>(settled)), !answer);
     if (answer && answer->phase == StoredAnswer::Phase::Finished)
         return std::move(*answer);
     bool running = answer && answer->phase == StoredAnswer::Phase::Running;
-    Refusal refused = refusal(running ? Outcome::Undecided : Outcome::MayHaveRun, RefusalType::HeldElsewhere,
-        Step::Answer, running ? "it is running at another node" : "another node had it; its answer can't be had now");
+    Refusal refused
+        = refusal(running ? Outcome::Undecided : Outcome::MayHaveRun, RefusalType::HeldElsewhere, Step::Answer,
+            running ? "the request is running at another node"
+                    : "another node holds the permit; its answer is not available");
     refused.peer = std::move(peer);
     return refused;
 }
 
-// Granted to an arrival that came here before. If that one stopped waiting it never ran, and its grant can be
-// taken back; otherwise it was dispatched and its answer is no longer kept.
+// The permit was granted to an earlier arrival at this node. If that arrival was abandoned it never ran, and its permit
+// is revoked; otherwise it was dispatched and its answer is no longer stored.
 Serving::Ending Serving::ownEarlierArrival(const JournalEntry& entry)
 {
     if (!m_context.abandoned.contains(entry.grantedTo.serial))
-        return refusal(
-            Outcome::MayHaveRun, RefusalType::HeldElsewhere, Step::Answer, "it ran here; its answer is not kept");
+        return refusal(Outcome::MayHaveRun, RefusalType::HeldElsewhere, Step::Answer,
+            "the request was dispatched by this node; its answer is not stored");
     RequestKey key = *m_identity.key;
     key.attempt = std::max(key.attempt, entry.grantedAttempt);
     PermitOutcome outcome = m_parts.makeVoid(key, entry.grantedTo, monotonicNow() + m_context.settings.voidTimeout);
@@ -141,8 +143,8 @@
         return voided(outcome.entry);
     if (outcome.answer == PermitAnswer::Expired)
         return expired();
-    return refusal(
-        Outcome::Undecided, RefusalType::Undecided, Step::Permit, "an earlier arrival's permit is being taken back");
+    return refusal(Outcome::Undecided, RefusalType::Undecided, Step::Permit,
+        "the permit of an earlier arrival could not be revoked yet");
 }
 
 void Serving::setHeaders(Outcome outcome, httplib::Response& response) const
@@ -191,7 +193,7 @@
     finish(name(refused.outcome), name(refused.type), true);
 }
 
-// Every request comes here once, whatever its end.
+// Called once for every request, whatever its outcome.
 void Serving::finish(std::string_view outcome, std::string_view type, bool failed)
 {
     m_ended = true;
--- a/src/caller/pages.cpp
+++ b/src/caller/pages.cpp
@@ -21,7 +21,7 @@
         response.set_content(body.dump(-1, ' ', false, json::error_handler_t::replace), "application/json");
     }
 
-    // Nothing runs behind these calls, so "not run" is always true of them.
+    // These endpoints call no backend server, so the outcome of a refusal is always "not run".
     void refuse(
         RefusalType type, std::string message, std::optional<Milliseconds> retryAfter, httplib::Response& response)
     {
@@ -50,7 +50,7 @@
         return found == params.end() ? std::string() : found->second;
     }
 
-    // An object, or nothing.
+    // Returns nullopt if the body is not a JSON object.
     std::optional<json> parseObject(const std::string& body)
     {
         json parsed = json::parse(body, nullptr, false);
@@ -134,7 +134,7 @@
         std::string key = context.parts.mintKey(now);
         if (key.empty())
             return refuse(
-                RefusalType::NotReady, "no part of the key space is at hand", context.settings.retryAfter, response);
+                RefusalType::NotReady, "no slot has a live owner and witness", context.settings.retryAfter, response);
         keys.push_back(std::move(key));
     }
     writeJson(200, { { "keys", std::move(keys) }, { "issued_ms", now.time_since_epoch().count() } }, response);
@@ -149,7 +149,7 @@
     switch (found.state) {
     case AnswerStore::State::Unknown:
     case AnswerStore::State::OtherRequest:
-        return notFound("nothing is known here of this key for this team", response);
+        return notFound("this node has no request with this key for this team", response);
     case AnswerStore::State::Running:
         body["outcome"] = name(Outcome::Undecided);
         break;
@@ -212,7 +212,7 @@
 {
     auto trail = context.recent.find(requestId);
     if (!trail)
-        return notFound("this request is not among the latest of this node", response);
+        return notFound("the request is not among the latest requests of this node", response);
     writeJson(200, trail->toJson(), response);
 }
 
--- a/src/caller/pages.h
+++ b/src/caller/pages.h
@@ -7,7 +7,7 @@
 
 namespace Kumquatpick {
 
-// The calls that are answered from this node's own knowledge, without the way of a request.
+// Handlers for endpoints that are answered from the state of this node and call no backend server.
 
 void answerEntries(ServeContext&, const RequestLine&, httplib::Response&);
 void answerKeys(ServeContext&, const httplib::Request&, httplib::Response&);
--- a/src/caller/refusal.cpp
+++ b/src/caller/refusal.cpp
@@ -8,7 +8,7 @@
 
     struct TypeRow {
         std::string_view name;
-        int notRunStatus; // While the outcome is not-run.
+        int notRunStatus; // HTTP status if the outcome is not-run.
     };
 
     // In the order of RefusalType.
@@ -90,7 +90,7 @@
         error["retry_after_ms"] = refusal.retryAfter->count();
     if (refusal.nextAttempt)
         error["next_attempt"] = *refusal.nextAttempt;
-    // Messages may quote what a caller sent, which need not be UTF-8.
+    // Messages may quote input from the caller, which need not be valid UTF-8.
     return nlohmann::json { { "error", std::move(error) } }.dump(
         -1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
--- a/src/caller/refusal.h
+++ b/src/caller/refusal.h
@@ -10,7 +10,7 @@
 
 namespace Kumquatpick {
 
-// What a caller may believe of its request; docs/PROTOCOLS.md gives the promises.
+// What a caller can rely on about its request; docs/PROTOCOLS.md defines the guarantees.
 enum class Outcome : uint8_t {
     Answered,
     NotRun,
@@ -44,20 +44,20 @@
 std::string_view name(Outcome);
 std::string_view name(RefusalType);
 
-// The one typed end of a request that is not answered.
+// The error response to a request that is not answered.
 struct Refusal {
     Outcome outcome = Outcome::NotRun;
     RefusalType type = RefusalType::Malformed;
     std::string message;
     Step step = Step::Parse;
     std::string peer {};
-    std::optional<Milliseconds> retryAfter {}; // Absent where coming back is pointless.
-    std::optional<uint32_t> nextAttempt {}; // What to come back as, once this attempt is void.
+    std::optional<Milliseconds> retryAfter {}; // Absent if a retry can't succeed.
+    std::optional<uint32_t> nextAttempt {}; // The attempt number for a retry, set once this attempt is void.
 };
 
-// The HTTP status that says it.
+// The HTTP status for the refusal's outcome and type.
 int httpStatus(const Refusal&);
-// The JSON body, the same for a whole answer and for the error event of a stream.
+// The JSON body, used for both plain responses and the error event of a stream.
 std::string refusalBody(const Refusal&, std::string_view requestId);
 // Seconds for the Retry-After header, rounded up.
 int64_t retryAfterSeconds(Milliseconds);
--- a/src/caller/request.cpp
+++ b/src/caller/request.cpp
@@ -13,13 +13,14 @@
 namespace {
 
     constexpr std::string_view servicePrefix = "/v1/services/";
-    constexpr size_t longestName = 200; // Of keys, teams and services.
-    // Callers' clocks may be ahead of ours. A key from further ahead would outlive the journals' retention.
+    constexpr size_t longestName = 200; // For keys, teams and services.
+    // Tolerance for callers whose clocks are ahead. A key issued further in the future would stay valid for longer than
+    // the journals keep it.
     constexpr Milliseconds clockSkew { 300'000 };
 
     struct HeaderField {
         bool present = false;
-        bool ambiguous = false; // Sent more than once: there is no telling which one is meant.
+        bool ambiguous = false; // Sent more than once, so it is unclear which value applies.
         std::string_view value;
     };
 
@@ -46,7 +47,7 @@
         return value;
     }
 
-    // The default where the header is absent, nothing where it is unreadable.
+    // Returns the fallback if the header is absent and nullopt if it is invalid.
     template <typename Number>
     std::optional<Number> numberOr(const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
     {
@@ -58,7 +59,8 @@
         return parseNumber<Number>(header.value);
     }
 
-    // Unreadable counts as not repeatable, which is the careful reading.
+    // Returns nullopt if the header is invalid. identify() then treats the request as not repeatable, so that it can't
+    // run twice.
     std::optional<bool> parseRepeatable(std::string_view method, const httplib::Headers& headers)
     {
         HeaderField header = field(headers, "Kumquatpick-Repeatable");
@@ -83,7 +85,7 @@
         return std::nullopt;
     }
 
-    // A key that a node made names its issue time itself.
+    // A key that was minted by a node contains its issue time.
     std::optional<WallTime> parseIssued(std::string_view key, const httplib::Headers& headers)
     {
         if (auto minted = MintedKey::parse(key))
@@ -106,7 +108,7 @@
         return RequestKey { std::string(key.value), *attempt, *issued };
     }
 
-    // Each function reads one part and refuses, or returns nothing.
+    // Each function parses one part and returns a refusal if that part is invalid.
     using Check = std::optional<Refusal>;
 
     Refusal malformed(std::string message) { return { Outcome::NotRun, RefusalType::Malformed, std::move(message) }; }
@@ -117,7 +119,7 @@
         if (!team.present)
             return Refusal { Outcome::NotRun, RefusalType::UnknownTeam, "Kumquatpick-Team is missing" };
         if (team.ambiguous || !isPlainName(team.value))
-            return malformed("Kumquatpick-Team is unreadable");
+            return malformed("Kumquatpick-Team is not a valid name");
         request.team = team.value;
         return std::nullopt;
     }
@@ -156,18 +158,18 @@
         if (!field(raw.headers, "Idempotency-Key").present)
             return Refusal { Outcome::NotRun, RefusalType::MissingKey,
                 "a request that is not repeatable needs an Idempotency-Key" };
-        // A resend without its issue time could come after the journals forgot the key, and run again.
+        // Without an issue time, a resend that arrives after the journals dropped the key would run again.
         if (!field(raw.headers, "Kumquatpick-Issued").present)
             return Refusal { Outcome::NotRun, RefusalType::MissingKey,
                 "an Idempotency-Key needs its issue time in Kumquatpick-Issued" };
-        return malformed("Idempotency-Key, Kumquatpick-Attempt or Kumquatpick-Issued is unreadable");
+        return malformed("Idempotency-Key, Kumquatpick-Attempt or Kumquatpick-Issued is invalid");
     }
 
     Check readChat(const RawRequest& raw, CallerRequest& request)
     {
         request.kind = RequestKind::Chat;
         if (raw.method != "POST")
-            return malformed("chat completions are posted");
+            return malformed("chat completions require the POST method");
         auto chat = parseChatBody(raw.body);
         if (!chat)
             return malformed("the body must be a JSON object with a model");
@@ -195,7 +197,7 @@
         if (refusal)
             return refusal;
         if (!isPlainName(request.service))
-            return malformed("the service's name is unreadable");
+            return malformed("the service name is not valid");
         request.method = raw.method;
         request.contentType = raw.contentType;
         request.body = raw.body;
@@ -205,7 +207,7 @@
     uint64_t fingerprintOf(const CallerRequest& request)
     {
         uint64_t hash = 0;
-        // Chained, so that bytes can't move from one part to the next unseen.
+        // Each hash is the seed of the next, so that moving bytes from one part to the next changes the result.
         std::initializer_list<std::string_view> parts = { request.team, request.service, request.method,
             request.upstreamPath, request.contentType, request.body };
         for (std::string_view part : parts)
--- a/src/caller/request.h
+++ b/src/caller/request.h
@@ -21,7 +21,7 @@
     ServiceCall,
 };
 
-// A request as it came, before anything of it is trusted.
+// A request as received, before validation.
 struct RawRequest {
     std::string_view method;
     std::string_view target;
@@ -34,30 +34,30 @@
     RequestKind kind = RequestKind::Chat;
     std::string method;
     std::string service;
-    std::string upstreamPath; // With its query.
+    std::string upstreamPath; // Includes the query.
     std::string contentType;
     std::string body;
     std::vector<uint64_t> prefixes;
     std::string team;
     Priority priority = Priority::Normal;
     bool repeatable = false;
-    RequestKey key; // Empty if a repeatable request brought none.
-    Milliseconds timeout {}; // From its arrival.
+    RequestKey key; // Empty if a repeatable request has no valid key.
+    Milliseconds timeout {}; // Measured from the request's arrival.
     std::optional<TraceContext> trace;
-    // Of team and content: a key stands for one of these, and an answer is given for no other.
+    // Hash of team and content. A stored answer is sent only to requests with the same key and fingerprint.
     uint64_t fingerprint = 0;
 };
 
-// By which a request is known again. Read also from requests that are malformed elsewhere.
+// Identifies an attempt of a request. Also parsed from requests of which other parts are malformed.
 struct RequestIdentity {
     bool repeatable = false;
-    // Set only if key, attempt and issue time are all readable: less than that is no attempt of any key.
+    // Set only if key, attempt and issue time are all valid, as together they identify an attempt.
     std::optional<RequestKey> key;
 };
 
 RequestIdentity identify(std::string_view method, const httplib::Headers&, WallTime now);
 
-// Either a request that is well-formed in every part, or the one refusal for it. Never throws on bad input.
+// Returns a request of which every part is well-formed, or the refusal. Does not throw on malformed input.
 std::variant<CallerRequest, Refusal> parseRequest(const RawRequest&, const CallerSettings&, WallTime now);
 
 bool isServicePath(std::string_view path);
--- a/src/caller/respond.h
+++ b/src/caller/respond.h
@@ -7,7 +7,7 @@
 
 namespace Kumquatpick {
 
-// Puts a refusal into a response: status, outcome, Retry-After and the JSON body.
+// Writes a refusal to a response: status, outcome, Retry-After and the JSON body.
 void writeRefusal(const Refusal&, std::string_view requestId, httplib::Response&);
 
 } // namespace Kumquatpick
--- a/src/caller/serve.cpp
+++ b/src/caller/serve.cpp
@@ -5,7 +5,7 @@
 
 namespace Kumquatpick {
 
-// The way of a request. Each step either ends it or hands it to the next.
+// The steps of a request, in order. Each step either ends the request or lets the next one run.
 const Serving::StepFunction Serving::steps[] = {
     &Serving::parse,
     &Serving::recogniseResend,
@@ -73,8 +73,8 @@
     return std::nullopt;
 }
 
-// The same key with the same content gets the same answer. Taking the key here also keeps two arrivals of it
-// at this node from asking for a permit at the same time.
+// A resend with the same key and content gets the same answer. Reserving the key here also prevents two arrivals
+// at this node from requesting a permit at the same time.
 Serving::StepResult Serving::recogniseResend()
 {
     if (!isKeyed())
@@ -85,12 +85,13 @@
         m_begun = true;
         return std::nullopt;
     case AnswerStore::State::Running:
-        return refusal(Outcome::Undecided, RefusalType::Undecided, Step::Accept, "the key's request is running here");
+        return refusal(Outcome::Undecided, RefusalType::Undecided, Step::Accept,
+            "a request with this key is running at this node");
     case AnswerStore::State::Finished:
         return std::move(found.answer);
     case AnswerStore::State::Lost:
-        return Refusal { Outcome::MayHaveRun, RefusalType::BackendLost, "it was dispatched; its answer is not here",
-            Step::Answer };
+        return Refusal { Outcome::MayHaveRun, RefusalType::BackendLost,
+            "the request was dispatched; its answer is not stored", Step::Answer };
     case AnswerStore::State::OtherRequest:
         return Refusal { Outcome::MayHaveRun, RefusalType::HeldElsewhere, "the key was used for another request",
             Step::Answer };
@@ -121,7 +122,7 @@
     if (m_parts.suspicion.mayDispatch(m_poisonFingerprint, now))
         return std::nullopt;
     Refusal stopped = refusal(Outcome::NotRun, RefusalType::Poison, Step::Route,
-        "backend servers died while they ran requests of this content");
+        "backend servers failed while running requests with this content");
     stopped.retryAfter = m_parts.suspicion.retryAfter(m_poisonFingerprint, now);
     return stopped;
 }
@@ -145,8 +146,8 @@
     return refused;
 }
 
-// The right to run a non-repeatable request once. The wait is short: a caller that is told to ask again can
-// ask another node, one that is kept waiting can't.
+// Requests the permit to run a non-repeatable request once. The timeout is short, so that the caller can retry at
+// another node instead of waiting.
 Serving::StepResult Serving::takePermit()
 {
     if (!isKeyed())
--- a/src/caller/server.cpp
+++ b/src/caller/server.cpp
@@ -17,7 +17,7 @@
     constexpr std::string_view requestsPath = "/v1/requests/";
     constexpr std::string_view explainPath = "/v1/explain/";
 
-    // Sent when no thread is free to read the request: its key is not known, so nothing can be promised of it.
+    // Sent if no thread is free to read the request. Its key is not known then, so the outcome is "undecided".
     std::string busyAnswer(const CallerSettings& settings)
     {
         Refusal refusal { Outcome::Undecided, RefusalType::QueueFull, "every thread of this node is busy", Step::Accept,
@@ -33,13 +33,13 @@
     {
         if (status == 413)
             return { Outcome::NotRun, RefusalType::TooLarge,
-                "the limit of a body is " + std::to_string(settings.bodyLimitBytes) + " bytes" };
+                "the request body exceeds the limit of " + std::to_string(settings.bodyLimitBytes) + " bytes" };
         if (status >= 500)
-            return { Outcome::Undecided, RefusalType::Undecided, "an error inside of this node", Step::Accept, {},
+            return { Outcome::Undecided, RefusalType::Undecided, "internal error of this node", Step::Accept, {},
                 settings.retryAfter, {} };
         const auto* connection = CallerConnection::ofThisThread();
         std::string problem = connection ? connection->line().problem : "";
-        return { Outcome::NotRun, RefusalType::Malformed, problem.empty() ? "the request can't be read" : problem };
+        return { Outcome::NotRun, RefusalType::Malformed, problem.empty() ? "the request is malformed" : problem };
     }
 
     template <typename Condition> bool waitUntil(MonotonicTime deadline, Condition&& condition)
@@ -116,7 +116,8 @@
     response.status = 404;
 }
 
-// Errors of the HTTP library and of the limits on reading. Responses that say their outcome are left alone.
+// Writes the response for errors of the HTTP library and of the read limits. Responses that already have an outcome
+// are not changed.
 void CallerServer::Impl::handleError(const httplib::Request& request, httplib::Response& response)
 {
     if (!response.body.empty() || response.has_header("Kumquatpick-Outcome"))
@@ -147,7 +148,8 @@
 
 void CallerServer::beginDrain() { m_impl->context.stopping = true; }
 
-// Until the streams are over, newcomers are still told that this node is stopping; only then nobody is listened to.
+// New requests are still answered with "stopping" while requests are in flight. The listener is stopped only after
+// that.
 bool CallerServer::drain(MonotonicTime deadline)
 {
     beginDrain();
--- a/src/caller/server.h
+++ b/src/caller/server.h
@@ -9,27 +9,28 @@
 
 namespace Kumquatpick {
 
-// The HTTP server for callers and operators. One thread of a bounded pool serves one request at a time;
-// the way of a request is in serve.cpp.
+// The HTTP server for callers and operators. Each thread of a bounded pool serves one request at a time. The steps of
+// a request are in serve.cpp.
 class CallerServer {
 public:
     CallerServer(CallerSettings, Collaborators);
-    // Cuts off what is in flight; drain() first.
+    // Aborts requests in flight; call drain() before to let them finish.
     ~CallerServer();
 
-    // Binds and serves; fails with InvalidArgument if the address can't be bound.
+    // Starts listening and serving; fails with InvalidArgument if the address can't be bound.
     Result<void> start();
-    // Where it listens, with the port that was taken.
+    // The listening address with the bound port.
     Address address() const;
 
-    // From now on requests are answered with "stopping" and /readyz fails; requests in flight go on.
+    // From now on new requests are refused with "stopping" and /readyz fails. Requests in flight continue.
     void beginDrain();
-    // Blocks until nothing is in flight or the deadline passed, then stops; true if nothing was cut off.
+    // Blocks until no request is in flight or the deadline has passed, then stops. Returns true if no request was
+    // aborted.
     bool drain(MonotonicTime deadline);
 
-    // For gossip: requests in flight here.
+    // Number of requests in flight, for gossip.
     uint32_t inFlight() const;
-    // For the other nodes: an answer kept here, by the lookup text that they were handed. Does not block.
+    // Returns a stored answer to another node, by the lookup text that the node sent. Does not block.
     StoredAnswer storedAnswer(const std::string& lookup);
 
 private:
--- a/src/caller/serving.h
+++ b/src/caller/serving.h
@@ -21,7 +21,7 @@
 
 namespace Kumquatpick {
 
-// What all requests of a server share.
+// State shared by all requests of a server.
 struct ServeContext {
     const CallerSettings& settings;
     Collaborators& parts;
@@ -33,14 +33,14 @@
     std::atomic<uint64_t> lastSerial { 0 };
 };
 
-// This thread's own source of identities.
+// Random number generator of this thread, for request and span ids.
 Random& threadRandom();
 
 RefusalType admissionRefusal(AdmissionVerdict);
 std::string_view permitText(PermitAnswer);
 
-// One arrival of a request, from its parsing to its one typed outcome. Used by one thread; held by the response
-// while that is written.
+// Serves one arrival of a request, from parsing to its outcome. Used by one thread; owned by the response while that
+// is written.
 class Serving : public std::enable_shared_from_this<Serving> {
 public:
     Serving(ServeContext&, const httplib::Request&, const RequestLine&);
@@ -48,18 +48,18 @@
     Serving(const Serving&) = delete;
     Serving& operator=(const Serving&) = delete;
 
-    // Takes the request through its steps and prepares the response.
+    // Runs the steps of the request and prepares the response.
     void serve(httplib::Response&);
-    // The same end for a request that could not be read whole.
+    // Refuses a request that could not be read completely.
     void refuseUnread(Refusal, httplib::Response&);
 
 private:
-    // A step that ends the request says how: with a refusal, or with an answer kept from before.
+    // How a step ends the request: with a refusal or with a stored answer.
     using Ending = std::variant<Refusal, StoredAnswer>;
     using StepResult = std::optional<Ending>;
     using StepFunction = StepResult (Serving::*)();
 
-    // serve.cpp: the way of a request, in this order.
+    // serve.cpp: the steps of a request, in this order.
     static const StepFunction steps[];
     StepResult parse();
     StepResult recogniseResend();
@@ -69,7 +69,7 @@
     StepResult takePermit();
     StepResult dispatch();
 
-    // dispatch.cpp: one try after the other, until an answer has begun.
+    // dispatch.cpp: tries replicas until one has begun its answer.
     std::optional<ReplicaView> chooseReplica();
     Result<void> tryReplica(const ReplicaView&);
     BackendRequest backendRequest(const ReplicaView&, const RequestTrail::Hop&) const;
@@ -82,7 +82,7 @@
     Refusal dispatchRefusal(const Error&) const;
     Refusal noReplica() const;
 
-    // stream.cpp: the answer on its way to the caller.
+    // stream.cpp: sends the answer to the caller.
     Result<void> readPiece();
     bool isWhole() const;
     void keep(std::string_view);
@@ -95,7 +95,7 @@
     bool runsOnForResend() const;
     bool readRestForResend();
 
-    // outcome.cpp: what may be said, and saying it.
+    // outcome.cpp: determines the outcome and writes it to the response.
     void end(Ending, httplib::Response&);
     Ending confirm(Refusal);
     Ending withoutPermit(const PermitOutcome&);
@@ -127,24 +127,24 @@
     std::shared_ptr<const OperatorsText> m_text;
     std::shared_ptr<RequestTrail> m_trail;
 
-    bool m_begun = false; // The key is taken in the answer store.
+    bool m_begun = false; // The key is reserved in the answer store.
     bool m_admitted = false;
-    bool m_everSent = false; // Some byte may have reached a backend server.
-    bool m_ended = false; // The outcome is known and counted.
+    bool m_everSent = false; // A try may have reached a backend server.
+    bool m_ended = false; // The outcome is final and counted in the metrics.
     MonotonicTime m_admittedAt {};
     uint64_t m_poisonFingerprint = 0;
 
     std::vector<std::string> m_tried;
-    ReplicaView m_replica; // The one that has the request now; its name is empty if none has.
+    ReplicaView m_replica; // The replica that is serving the request; its name is empty if there is none.
     MonotonicTime m_dispatchedAt {};
-    bool m_sent = false; // Of the latest try.
+    bool m_sent = false; // The latest try may have reached its backend server.
     std::unique_ptr<BackendCall> m_call;
     BackendResponseHead m_head;
     std::optional<RequestTrail::Hop> m_streamHop;
-    std::optional<SseStream> m_events; // If the answer is an event stream.
-    std::string m_ready; // Of the body, read and not passed on yet.
+    std::optional<SseStream> m_events; // Set if the answer is an event stream.
+    std::string m_ready; // Part of the body that was read but not yet sent to the caller.
     bool m_bodyEnded = false;
-    bool m_keeps = false; // The body is collected for resends.
+    bool m_keeps = false; // The body is being stored for resends.
     std::string m_kept;
 };
 
--- a/src/caller/settings.h
+++ b/src/caller/settings.h
@@ -10,35 +10,35 @@
 
 // Limits of the caller-facing server.
 struct CallerSettings {
-    std::string ip = "127.0.0.1"; // Never a host name.
-    uint16_t port = 0; // 0 takes a free one.
-    // One request, stream or kept connection each; whoever comes when all are busy is refused at once.
+    std::string ip = "127.0.0.1"; // A numeric IP address, never a host name.
+    uint16_t port = 0; // 0 selects a free port.
+    // Each serves one request or stream at a time. Requests that arrive while all are busy are refused at once.
     size_t threads = 256;
     size_t headerLimitBytes = 32 * 1024;
     size_t bodyLimitBytes = 8 * 1024 * 1024;
     Milliseconds requestReadTimeout { 10'000 }; // For a whole request, head and body, to arrive.
-    Milliseconds stallTimeout { 10'000 }; // A caller that takes nothing of its answer for so long is cut off.
-    Milliseconds keepAlive { 5'000 }; // An idle connection is kept for so long.
+    Milliseconds stallTimeout { 10'000 }; // Limit for a caller that accepts no bytes of its answer.
+    Milliseconds keepAlive { 5'000 }; // How long an idle connection is kept open.
 
     Milliseconds defaultDeadline { 60'000 };
     Milliseconds longestDeadline { 600'000 };
-    // How long a request waits for its permit before the caller is told to ask again.
+    // How long a request waits for its permit before the caller is told to retry.
     Milliseconds permitTimeout { 2'000 };
-    // How long a refusal waits to be kept at owner and witness before it becomes "undecided".
+    // How long a refusal waits for the attempt to be void at owner and witness; after that the outcome is "undecided".
     Milliseconds voidTimeout { 500 };
-    Milliseconds retryAfter { 1'000 }; // Told to callers where nobody knows better.
+    Milliseconds retryAfter { 1'000 }; // Sent to callers if no better estimate exists.
 
-    // An answer that is no event stream is read up to this size before its head is passed on.
+    // An answer that is not an event stream is read up to this size before its head is sent to the caller.
     size_t wholeAnswerBytes = 1024 * 1024;
-    // Answers of non-repeatable requests, kept for resends.
+    // Limits of the answers to non-repeatable requests that are stored for resends.
     Milliseconds answerLifetime { 600'000 };
     size_t answerBytes = 256 * 1024 * 1024;
-    size_t answerBodyBytes = 4 * 1024 * 1024; // Of one answer; a larger one is not kept.
-    // A non-repeatable request whose caller went away runs on, so that a resend gets its answer. Otherwise
-    // it is cancelled and its key may only ever be told "may have run".
+    size_t answerBodyBytes = 4 * 1024 * 1024; // For one answer; a larger one is not stored.
+    // Whether a non-repeatable request runs to its end after its caller disconnected, so that a resend gets its answer.
+    // If not, it is cancelled and every resend gets "may have run".
     bool finishForResend = true;
 
-    size_t explainedRequests = 4096; // Latest requests that /v1/explain knows.
+    size_t explainedRequests = 4096; // Number of latest requests available in /v1/explain.
     Milliseconds entriesTimeToLive { 5'000 };
 };
 
--- a/src/caller/ssestream.cpp
+++ b/src/caller/ssestream.cpp
@@ -10,7 +10,7 @@
     constexpr size_t tailBytes = 64;
     constexpr std::string_view doneEvent = "data: [DONE]";
 
-    // Behind the last blank line, or 0 if there is none.
+    // Offset after the last blank line, or 0 if there is none.
     size_t endOfLastEvent(std::string_view text)
     {
         size_t end = 0;
--- a/src/caller/ssestream.h
+++ b/src/caller/ssestream.h
@@ -5,17 +5,17 @@
 
 namespace Kumquatpick {
 
-// Passes the bytes of an event stream on at the ends of events, so that a stream that breaks leaves no half
-// event with the caller, and knows whether it came to its proper end.
+// Buffers an event stream and releases it only at the ends of events, so that a stream that breaks off leaves the
+// caller no partial event. Also detects whether the stream ended with [DONE].
 class SseStream {
 public:
-    // Takes a piece; returns what may be passed on now.
+    // Adds received bytes; returns the bytes that may be sent to the caller now.
     std::string push(std::string_view piece);
-    // What was held back, when the stream is over.
+    // Returns the bytes still buffered at the end of the stream.
     std::string takeRest();
     // Whether the last event was `data: [DONE]`.
     bool isDone() const;
-    // Whether part of an event was passed on without its end, as it was too long to hold back.
+    // Whether part of an event was released without its end because it exceeded the buffer's limit.
     bool isMidEvent() const { return m_midEvent; }
 
 private:
--- a/src/caller/stream.cpp
+++ b/src/caller/stream.cpp
@@ -6,14 +6,14 @@
 
 namespace Kumquatpick {
 
-// Reads one piece of the answer into m_ready, or notes its end.
+// Reads one piece of the answer into m_ready, or sets m_bodyEnded at its end.
 Result<void> Serving::readPiece()
 {
     auto settled = settle([&] { return m_call->next(); });
     if (auto* error = std::get_if<Error>(&settled)) {
         if (!isWhole())
             return fail(std::move(*error));
-        settled = std::string(); // Nothing is missing after [DONE].
+        settled = std::string(); // The answer is complete after [DONE].
     }
     const std::string& piece = std::get<std::string>(settled);
     if (!piece.empty()) {
@@ -22,15 +22,15 @@
         return {};
     }
     if (m_events && m_request.kind == RequestKind::Chat && !isWhole())
-        return fail(
-            { ErrorCode::BrokenOff, Step::Stream, m_replica.leader.toString(), "it ended without its last event" });
+        return fail({ ErrorCode::BrokenOff, Step::Stream, m_replica.leader.toString(),
+            "the stream ended without its last event" });
     if (m_events)
         m_ready += m_events->takeRest();
     m_bodyEnded = true;
     return {};
 }
 
-// Whether the caller needs nothing more, whatever comes of the connection.
+// Whether the stream has had its last event, so that a later error of the connection loses nothing.
 bool Serving::isWhole() const { return m_events && m_request.kind == RequestKind::Chat && m_events->isDone(); }
 
 void Serving::keep(std::string_view piece)
@@ -67,7 +67,7 @@
         });
 }
 
-// Called again and again until it ends the stream or returns false, which cuts the connection.
+// Called repeatedly until it ends the stream or returns false, which closes the connection.
 bool Serving::pump(httplib::DataSink& sink)
 {
     if (!m_ready.empty())
@@ -93,8 +93,8 @@
     return false;
 }
 
-// An event stream ends with the typed error; of any other body the caller sees that it is cut short, as its
-// last chunk is missing.
+// Ends an event stream with an error event. Any other body ends without its last chunk, so that the caller can detect
+// that it is truncated.
 bool Serving::breakStream(httplib::DataSink& sink, const Error& error)
 {
     Refusal refused = dispatchRefusal(error);
@@ -112,11 +112,11 @@
 
 bool Serving::runsOnForResend() const { return m_keeps && m_context.settings.finishForResend; }
 
-// A repeatable request is cancelled at the engine, as nobody wants its answer any more. The answer of one that
-// is not can't be had a second time, so it is read to its end for the resend.
+// A repeatable request is cancelled at the engine, as its answer is no longer needed. A non-repeatable request can't
+// run a second time, so its answer is read to the end and stored for a resend.
 void Serving::callerLeft()
 {
-    m_trail->describe("caller", "went away");
+    m_trail->describe("caller", "disconnected");
     if (m_call && runsOnForResend() && readRestForResend())
         return answeredWhole();
     if (!m_replica.replica.empty()) {
--- a/src/caller/trail.h
+++ b/src/caller/trail.h
@@ -11,22 +11,22 @@
 
 namespace Kumquatpick {
 
-// What a request went through at this node: one entry and one span for each hop. Written by the thread that
-// serves the request, read by others for /v1/explain.
+// The trace of a request at this node, with one entry and one span for each hop. Written by the thread that serves the
+// request, read by others for /v1/explain.
 class RequestTrail {
 public:
-    // Without a parent it starts a trace of its own.
+    // Starts a new trace if there is no parent.
     RequestTrail(std::string requestId, const std::optional<TraceContext>& parent, TraceExporter&, Random&);
 
     const std::string& requestId() const { return m_requestId; }
-    // For the answer: the span of the whole request.
+    // The span of the whole request, for the response.
     std::string traceparent() const { return m_root.context.header(); }
     void describe(std::string_view field, std::string value);
     void finish(std::string_view outcome, std::string_view type, bool failed);
 
     nlohmann::json toJson() const;
 
-    // One hop, timed from its construction to its end.
+    // One hop, timed from its construction to its destruction.
     class Hop {
     public:
         Hop(RequestTrail&, Random&, std::string_view name);
@@ -35,9 +35,9 @@
         Hop& operator=(const Hop&) = delete;
 
         void setPeer(std::string peer) { m_span.peer = std::move(peer); }
-        // What came of it, in a few words.
+        // Sets the result of the hop, as a short text.
         void end(std::string detail, bool failed = false);
-        // To hand on to the peer.
+        // The span of the hop, for the request to the peer.
         std::string traceparent() const { return m_span.context.header(); }
 
     private:
--- a/tests/caller/answers_test.cpp
+++ b/tests/caller/answers_test.cpp
@@ -29,7 +29,7 @@
     store.finish(key, answer("done"), start);
     EXPECT_EQ(store.begin(key, start).answer.body, "done");
     EXPECT_EQ(store.find(AnswerKey::fromLookup(key.lookup()), start).answer.body, "done");
-    store.forget(key); // Only a running one is.
+    store.forget(key); // Has no effect on a finished request.
     EXPECT_EQ(store.find(key, start).state, AnswerStore::State::Finished);
     EXPECT_EQ(store.begin({ "k", 2, "board" }, start).state, AnswerStore::State::OtherRequest);
     EXPECT_EQ(store.findByKey("k", "families", start).state, AnswerStore::State::OtherRequest);
--- a/tests/caller/entries_test.cpp
+++ b/tests/caller/entries_test.cpp
@@ -29,7 +29,7 @@
     auto nodes = someNodes();
     auto own = *zone();
     auto choices = chooseEntries(nodes, own, caller);
-    std::map<uint16_t, const EntryNode*> open; // By port, in which they differ.
+    std::map<uint16_t, const EntryNode*> open; // By port, which is unique.
     for (const auto& node : nodes) {
         if (!node.stopping)
             open[node.address.port] = &node;
@@ -46,7 +46,7 @@
     RC_ASSERT(std::ranges::equal(choices, again, {}, &EntryChoice::address, &EntryChoice::address));
 }
 
-// A node that goes moves only the callers that had it first.
+// Stopping a node must not change the order of the others, so that only the callers that had it first move.
 RC_GTEST_PROP(Entries, OthersKeepTheirOrderWhenANodeStops, (const std::string& caller))
 {
     auto nodes = someNodes();
--- a/tests/caller/fakebackend.h
+++ b/tests/caller/fakebackend.h
@@ -13,7 +13,7 @@
 
 namespace Kumquatpick {
 
-// A model engine or plain service on a free loopback port, that does what a test tells it.
+// A model engine or plain service on a free loopback port. Tests set how it responds.
 class FakeBackend {
 public:
     using Behaviour = std::function<void(const httplib::Request&, httplib::Response&)>;
@@ -45,7 +45,7 @@
         m_port = m_server.bind_to_any_port("127.0.0.1");
         listen(listeningSocket(), 512);
         m_thread = std::thread([this] { m_server.listen_after_bind(); });
-        // Its stop() does nothing before it runs.
+        // stop() has no effect before the server runs.
         while (!m_server.is_running())
             std::this_thread::yield();
     }
@@ -94,7 +94,7 @@
     }
 
 private:
-    // The library's backlog of 5 would turn 200 connections at once into retransmits of a second.
+    // With the library's backlog of 5, opening 200 connections at once would cause retransmits after one second.
     struct Server : httplib::Server {
         socket_t listening() const { return svr_sock_; }
     };
@@ -110,7 +110,7 @@
     std::thread m_thread;
 };
 
-// Holds behaviours back until a test opens it.
+// Blocks behaviours until a test opens it.
 class Gate {
 public:
     void open()
@@ -134,11 +134,11 @@
 
 enum class StreamEnd {
     Done, // data: [DONE], then the body's end.
-    NoDone, // The body's proper end without it.
+    NoDone, // The body ends properly, without [DONE].
     Cut, // The connection breaks.
 };
 
-// Sends the pieces of an event stream one by one, passing a gate, if there is one, before the last.
+// Sends the pieces of an event stream one by one. If there is a gate, waits for it before the last piece.
 inline FakeBackend::Behaviour events(
     const std::vector<std::string>& pieces, StreamEnd end, const std::shared_ptr<Gate>& gate = {})
 {
@@ -162,7 +162,7 @@
     };
 }
 
-// Goes on for as long as it is read.
+// Sends events until the reader closes the connection.
 inline FakeBackend::Behaviour endlessEvents()
 {
     return [](const httplib::Request&, httplib::Response& response) {
@@ -182,7 +182,7 @@
     };
 }
 
-// A whole head with a length, then less than that.
+// Sends a complete head with a Content-Length, then fewer bytes than that.
 inline FakeBackend::Behaviour cutAnswer(size_t promised, const std::string& sent)
 {
     return [=](const httplib::Request&, httplib::Response& response) {
--- a/tests/caller/hostile_test.cpp
+++ b/tests/caller/hostile_test.cpp
@@ -119,7 +119,7 @@
     EXPECT_EQ(count(converse(node, three), "HTTP/1.1 200"), 3U);
 }
 
-// A caller that sends its request slowly is given up, and no thread is lost to it.
+// A request that arrives too slowly is refused after the read timeout, and idle connections occupy no threads.
 TEST(Hostile, SlowSendersAndIdleConnectionsHoldNobodyUp)
 {
     FakeBackend engine;
@@ -160,7 +160,7 @@
         caller.join();
 }
 
-// Thousands of requests made of parts of real ones, cut, doubled and mixed with noise, four callers at a time.
+// Four callers at a time send 1,000 random requests each. The server must stay usable.
 TEST(Hostile, SeededGarbageIsSurvived)
 {
     constexpr int callers = 4;
@@ -179,7 +179,7 @@
             for (int i = 0; i < requestsEach; ++i) {
                 std::string text = garbageRequest(random);
                 std::string answer = converse(node, text);
-                // Whatever it says, it says it in HTTP.
+                // Every response must be an HTTP response.
                 EXPECT_TRUE(answer.empty() || answer.starts_with("HTTP/1.1 ")) << text << "\n" << answer;
             }
         });
--- a/tests/caller/outcome_test.cpp
+++ b/tests/caller/outcome_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Promises by status, as docs/PROTOCOLS.md lists them.
+    // Statuses allowed for each outcome, as listed in docs/PROTOCOLS.md.
     const std::map<std::string, std::vector<int>> allowedStatuses {
         { "not-run", { 400, 401, 404, 413, 429, 503 } },
         { "undecided", { 503 } },
@@ -95,13 +95,13 @@
     ASSERT_TRUE(first && fetched);
     EXPECT_EQ(fetched->body, first->body);
     EXPECT_EQ(fetched->get_header_value("Content-Type"), "text/event-stream");
-    // The holder is gone: nobody can say that it did not run.
+    // The node that stores the answer is unreachable, so the request may have run.
     nodes.second.peers.clear();
     EXPECT_EQ(ending(nodes.second.chat(TestNode::headers("key"))), "may-have-run/held_elsewhere");
     EXPECT_EQ(nodes.engine.runs(), 1U);
 }
 
-// The refusals below come from each step before dispatch. "Not run" follows the void, never precedes it.
+// Each step before dispatch can refuse a request. The outcome may be "not run" only after the attempt was voided.
 TEST(Outcome, NotRunIsSaidOnlyOnceTheAttemptIsVoid)
 {
     struct Case {
@@ -128,7 +128,7 @@
         engine.behave(plainAnswer("{}"));
         TestNode node;
         node.start({ &engine });
-        // A key for each answer of the journal.
+        // Each answer of the journal is tested with its own key.
         auto send = [&](const std::string& key) {
             auto headers = TestNode::headers(key);
             each.arrange(node, headers);
@@ -246,7 +246,7 @@
     }
 }
 
-// Nothing was passed to the caller yet, so only whether it may run twice decides.
+// The answer is lost before any of it was sent to the caller, so a repeatable request can be retried.
 TEST(Outcome, LostAnswerIsRetriedOnlyIfRepeatable)
 {
     auto cut = std::make_shared<std::atomic<bool>>(true);
--- a/tests/caller/rawcaller.h
+++ b/tests/caller/rawcaller.h
@@ -13,7 +13,7 @@
 
 namespace Kumquatpick {
 
-// A caller without an HTTP library.
+// A caller that sends raw bytes over a TCP socket.
 class RawCaller {
 public:
     explicit RawCaller(uint16_t port)
@@ -46,7 +46,7 @@
     int m_socket;
 };
 
-// Parts of real requests, cut, doubled and mixed with noise.
+// A random sequence of parts of valid and invalid requests and of random bytes.
 inline std::string garbageRequest(Random& random)
 {
     static const std::vector<std::string> parts { "GET ", "POST ", "PUT ", "/v1/chat/completions", "/v1/services/desk/",
--- a/tests/caller/request_test.cpp
+++ b/tests/caller/request_test.cpp
@@ -53,7 +53,7 @@
 {
     struct Case {
         const char* header;
-        const char* value; // nullptr: left out.
+        const char* value; // nullptr if the header is left out.
         RefusalType type;
     };
     const Case cases[] = {
@@ -129,7 +129,7 @@
     EXPECT_FALSE(parseChatBody(deep + std::string(1'000'000, ']') + "}"));
 }
 
-// Whatever comes, one of two things is said, and what passes is fit to be handed on.
+// Any input is either refused or parsed to a request with valid parts.
 RC_GTEST_PROP(Request, IsValidOrRefusedOnce, ())
 {
     auto names = rc::gen::element<std::string>("Kumquatpick-Team", "Idempotency-Key", "Kumquatpick-Issued",
@@ -157,7 +157,7 @@
     RC_ASSERT(request.body == body);
 }
 
-// However the bytes are cut into pieces: all of them are passed on, and a break never leaves half an event.
+// However a stream is split into pieces, all of its bytes are released, and only at the ends of events.
 RC_GTEST_PROP(SseStream, PassesWholeEventsInAnyPieces, (std::vector<uint8_t> cuts))
 {
     auto events = *rc::gen::container<std::vector<std::string>>(rc::gen::element<std::string>(
--- a/tests/caller/slots_test.cpp
+++ b/tests/caller/slots_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Two nodes' slot services that reach each other at once, over a log that accepts every proposal.
+    // The slot services of two nodes. Messages arrive without delay, and the log accepts every proposal.
     class SlotPair {
     public:
         SlotPair()
@@ -24,7 +24,7 @@
                     [this](const NodeInfo& to, const SlotMessage& message) { send(to, message); },
                     [this](const SlotsProposal& proposal) { m_proposals.push_back(proposal); });
             }
-            // Both tick until every slot has its pair.
+            // Ticks both until every slot is assigned.
             MonotonicTime now = monotonicNow();
             while (!allAssigned()) {
                 now += Milliseconds(500);
@@ -36,7 +36,7 @@
 
         SlotService& operator[](size_t index) { return *m_services[index]; }
         const NodeInfo& info(size_t index) const { return m_infos[index]; }
-        // Messages to or from it are lost from now on.
+        // All messages to or from this service are dropped from now on.
         void cutOff(size_t index) { m_isCut[index] = true; }
 
     private:
@@ -81,7 +81,7 @@
         SlotTable m_table;
     };
 
-    // Takes its permits from a real slot service.
+    // A node that requests its permits from a real slot service.
     class SlotNode : public TestNode {
     public:
         SlotNode(SlotPair& pair, size_t index, FakeBackend& engine)
--- a/tests/caller/stream_test.cpp
+++ b/tests/caller/stream_test.cpp
@@ -15,7 +15,7 @@
         return all;
     }
 
-    // Takes each piece of a stream as it comes; ends the connection once take returns false.
+    // Passes each piece of a stream to take() as it arrives; closes the connection once take() returns false.
     template <typename Take> httplib::Result streamChat(TestNode& node, const httplib::Headers& headers, Take take)
     {
         httplib::Request request;
@@ -34,7 +34,7 @@
 TEST(Stream, PassesBytesOnUnchanged)
 {
     FakeBackend engine;
-    // Every byte value, event ends within and between pieces, and a piece above all buffers.
+    // Every byte value but 0, event ends within and between pieces, and a piece larger than all buffers.
     std::string bytes;
     for (int value = 1; value < 256; ++value)
         bytes += static_cast<char>(value);
@@ -113,7 +113,7 @@
         EXPECT_EQ(error.at("outcome"), "may-have-run");
         EXPECT_EQ(error.at("type"), "backend_lost");
         EXPECT_EQ(result->body.find("[DONE]"), std::string::npos);
-        // And a resend is not run again.
+        // A resend must not run again.
         EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "may-have-run/backend_lost");
         EXPECT_EQ(engine.runs(), 1U);
     }
@@ -125,12 +125,12 @@
     TestNode node;
     node.settings.wholeAnswerBytes = 1000;
     node.start({ &service });
-    // Short enough to be read before anything is passed on: a typed refusal.
+    // This answer is short enough to be read before anything is sent to the caller, which gets a refusal.
     service.behave(cutAnswer(100, "{\"half\":"));
     auto shortOne = node.client()->Post("/v1/services/desk/record", TestNode::headers("a"), "x", "text/plain");
     EXPECT_EQ(ending(shortOne), "may-have-run/backend_lost");
     node.hostsReady(1);
-    // Longer: the caller's own reading fails.
+    // This answer exceeds the limit, so the caller fails to read it.
     service.behave(cutAnswer(10'000, std::string(5'000, 'x')));
     auto longOne = node.client()->Post("/v1/services/desk/record", TestNode::headers("b"), "x", "text/plain");
     EXPECT_FALSE(longOne);
@@ -162,7 +162,8 @@
     engine.waitForCancel();
 }
 
-// Used to be noticed only when the first byte came, if it ever did.
+// A caller that disconnects must be detected before the engine sends its first byte. Checking only when bytes arrive
+// would let the engine run on.
 TEST(Stream, CallerThatLeavesBeforeTheFirstByteIsCancelledAtTheEngine)
 {
     FakeBackend engine;
@@ -209,7 +210,7 @@
     node.start({ &engine });
     Gate cancelled;
     std::thread caller([&] {
-        // Takes one piece and then nothing more, with the connection open.
+        // Reads one piece and then nothing more, with the connection open.
         streamChat(node, TestNode::headers(), [&](std::string_view) {
             cancelled.wait();
             return false;
@@ -279,7 +280,7 @@
     auto get = node.client()->Get("/v1/services/desk/results", { { "Kumquatpick-Team", "board" } });
     ASSERT_TRUE(get);
     EXPECT_TRUE(get->body.starts_with("GET /results"));
-    // Forms with photos are bytes like any other. The fake service parses them, so it shows what it parsed.
+    // Multipart bodies are forwarded unchanged. The fake service parses the form and returns the content of its file.
     service.behave([](const httplib::Request& request, httplib::Response& response) {
         response.set_content(
             request.get_header_value("Content-Length") + " " + request.get_file_value("photo").content, "text/plain");
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -17,7 +17,7 @@
 
 namespace Kumquatpick {
 
-// What owner and witness of every slot would answer, or what a test lets them answer.
+// Replaces the journals of the owners and witnesses of all slots. Tests can set its answers.
 class FakeJournal {
 public:
     PermitOutcome permit(const RequestKey& key, ArrivalId arrival, const NodeInfo& entry)
@@ -59,7 +59,7 @@
 
     std::optional<PermitAnswer> permitAnswer;
     std::optional<PermitAnswer> voidAnswer;
-    bool loseGrants = false; // Grants are kept, but the answer does not come.
+    bool loseGrants = false; // Grants are recorded, but reported as Undecided.
 
 private:
     std::mutex m_mutex;
@@ -67,7 +67,7 @@
     uint32_t m_voids = 0;
 };
 
-// One node's caller side over real sockets, with fake backends and a journal that nodes may share.
+// The caller server of one node on a real socket, with fake backends and a journal that nodes can share.
 class TestNode {
 public:
     explicit TestNode(uint64_t incarnation = 1, std::shared_ptr<FakeJournal> journal = std::make_shared<FakeJournal>())
@@ -91,7 +91,7 @@
         settings.voidTimeout = Milliseconds(2'000);
     }
 
-    // Replicas of one host each: as many of the model service and of the plain one as there are backends.
+    // Registers one replica of the model service and one of the plain service for each backend, with one host each.
     void start(std::vector<FakeBackend*> backends)
     {
         std::map<Offset, Claim> claims;
@@ -125,7 +125,7 @@
         ASSERT_EQ(settle([&] { return server->start(); }).index(), 0U);
     }
 
-    // As probes would report them.
+    // Reports the first hosts as ready, as probes would.
     void hostsReady(size_t count)
     {
         for (size_t i = 0; i < count; ++i) {
@@ -149,7 +149,7 @@
         return made;
     }
 
-    // A chat request that is repeatable unless it has a key.
+    // Headers of a chat request, which is repeatable unless a key is given.
     static httplib::Headers headers(const std::string& key = "", int attempt = 1)
     {
         httplib::Headers result { { "Kumquatpick-Team", "board" } };
@@ -179,7 +179,7 @@
     std::shared_ptr<FakeJournal> journal;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime)> permit;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime)> makeVoid;
-    std::map<uint64_t, CallerServer*> peers; // By incarnation, for fetched answers.
+    std::map<uint64_t, CallerServer*> peers; // By incarnation. Answers are fetched from these.
     Admission admission;
     Router router { 7 };
     RetryBudget retryBudget;
@@ -221,7 +221,7 @@
 
 inline nlohmann::json errorOf(const std::string& body) { return nlohmann::json::parse(body).at("error"); }
 
-// The typed end of a response: "outcome/type".
+// The outcome of a response, as "answered" or "outcome/type".
 inline std::string ending(const httplib::Result& result)
 {
     if (!result)
