--- a/src/caller/answers.cpp
+++ b/src/caller/answers.cpp
@@ -19,9 +19,9 @@
 
 }
 
-std::string AnswerKey::lookup() const { return fmt::format("{:016x}{}", fingerprint, key); }
+std::string AnswerKey::toLookupText() const { return fmt::format("{:016x}{}", fingerprint, key); }
 
-AnswerKey AnswerKey::fromLookup(std::string_view text)
+AnswerKey AnswerKey::fromLookupText(std::string_view text)
 {
     AnswerKey result;
     if (text.size() < fingerprintDigits)
@@ -39,7 +39,7 @@
 
 AnswerStore::Shard& AnswerStore::shardOf(const std::string& key) { return m_shards[hash64(key) % shardCount]; }
 
-AnswerStore::Found AnswerStore::look(Shard& shard, const AnswerKey& key, MonotonicTime now)
+AnswerStore::FindResult AnswerStore::lookUp(Shard& shard, const AnswerKey& key, MonotonicTime now)
 {
     dropOld(shard, now);
     auto found = shard.entries.find(key.key);
@@ -50,24 +50,24 @@
     return { found->second.state, found->second.answer };
 }
 
-AnswerStore::Found AnswerStore::begin(const AnswerKey& key, MonotonicTime now)
+AnswerStore::FindResult AnswerStore::reserveKey(const AnswerKey& key, MonotonicTime now)
 {
     Shard& shard = shardOf(key.key);
     std::lock_guard lock(shard.mutex);
-    Found known = look(shard, key, now);
+    FindResult known = lookUp(shard, key, now);
     if (known.state == State::Unknown)
         shard.entries[key.key] = { key.fingerprint, State::Running, key.team, {}, {} };
     return known;
 }
 
-AnswerStore::Found AnswerStore::find(const AnswerKey& key, MonotonicTime now)
+AnswerStore::FindResult AnswerStore::find(const AnswerKey& key, MonotonicTime now)
 {
     Shard& shard = shardOf(key.key);
     std::lock_guard lock(shard.mutex);
-    return look(shard, key, now);
+    return lookUp(shard, key, now);
 }
 
-AnswerStore::Found AnswerStore::findByKey(const std::string& key, std::string_view team, MonotonicTime now)
+AnswerStore::FindResult AnswerStore::findByKey(const std::string& key, std::string_view team, MonotonicTime now)
 {
     Shard& shard = shardOf(key);
     std::lock_guard lock(shard.mutex);
@@ -87,7 +87,7 @@
     end(key, State::Finished, std::move(answer), now);
 }
 
-void AnswerStore::lose(const AnswerKey& key, MonotonicTime now) { end(key, State::Lost, {}, now); }
+void AnswerStore::markLost(const AnswerKey& key, MonotonicTime now) { end(key, State::Lost, {}, now); }
 
 void AnswerStore::end(const AnswerKey& key, State state, StoredAnswer answer, MonotonicTime now)
 {
@@ -105,7 +105,7 @@
     dropOld(shard, now);
 }
 
-void AnswerStore::forget(const AnswerKey& key)
+void AnswerStore::releaseKey(const AnswerKey& key)
 {
     Shard& shard = shardOf(key.key);
     std::lock_guard lock(shard.mutex);
--- a/src/caller/answers.h
+++ b/src/caller/answers.h
@@ -20,10 +20,10 @@
     uint64_t fingerprint = 0;
     std::string team {};
 
-    // Text form that is sent to the node that stores the answer and parsed there by fromLookup(). Does not contain
+    // Text form that is sent to the node that stores the answer and parsed there by fromLookupText(). Does not contain
     // the team.
-    std::string lookup() const;
-    static AnswerKey fromLookup(std::string_view);
+    std::string toLookupText() const;
+    static AnswerKey fromLookupText(std::string_view);
 };
 
 // Running and finished non-repeatable requests, so that a resend gets the same answer. Ended requests are dropped by
@@ -38,7 +38,7 @@
         OtherRequest, // The key was used for a request with other content or by another team.
     };
 
-    struct Found {
+    struct FindResult {
         State state = State::Unknown;
         StoredAnswer answer; // Set if the state is Finished.
     };
@@ -46,15 +46,15 @@
     AnswerStore(size_t bytes, Milliseconds lifetime);
 
     // Returns the state of the key. If it is Unknown, the key is now reserved as Running for this arrival.
-    Found begin(const AnswerKey&, MonotonicTime now);
-    Found find(const AnswerKey&, MonotonicTime now);
+    FindResult reserveKey(const AnswerKey&, MonotonicTime now);
+    FindResult find(const AnswerKey&, MonotonicTime now);
     // Looks up by key and team, without the fingerprint.
-    Found findByKey(const std::string& key, std::string_view team, MonotonicTime now);
+    FindResult findByKey(const std::string& key, std::string_view team, MonotonicTime now);
 
-    // Every key reserved by begin() must end with one of these; with forget() if it was never dispatched.
+    // Every key reserved by reserveKey() must end with one of these; with releaseKey() if it was never dispatched.
     void finish(const AnswerKey&, StoredAnswer, MonotonicTime now);
-    void lose(const AnswerKey&, MonotonicTime now);
-    void forget(const AnswerKey&);
+    void markLost(const AnswerKey&, MonotonicTime now);
+    void releaseKey(const AnswerKey&);
 
     size_t bytes() const;
 
@@ -77,7 +77,7 @@
     };
 
     Shard& shardOf(const std::string& key);
-    Found look(Shard&, const AnswerKey&, MonotonicTime now);
+    FindResult lookUp(Shard&, const AnswerKey&, MonotonicTime now);
     void end(const AnswerKey&, State, StoredAnswer, MonotonicTime now);
     void dropOld(Shard&, MonotonicTime now);
 
--- a/src/caller/chatbody.cpp
+++ b/src/caller/chatbody.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-    constexpr size_t deepestNesting = 64;
-    constexpr size_t shortestPrefix = 256;
+    constexpr size_t maxNesting = 64;
+    constexpr size_t minPrefixBytes = 256;
     // {"messages":[{"content":"..."}]} and {"messages":[{"content":[{"type":"text","text":"..."}]}]}
     constexpr size_t contentDepth = 3;
     constexpr size_t contentPartDepth = 5;
@@ -63,13 +63,13 @@
 
         void append(const std::string& text)
         {
-            if (m_any)
+            if (m_hasText)
                 m_body.prompt += '\n';
-            m_any = true;
+            m_hasText = true;
             m_body.prompt += text;
         }
 
-        bool enter() { return ++m_depth <= deepestNesting; }
+        bool enter() { return ++m_depth <= maxNesting; }
 
         bool leave()
         {
@@ -81,7 +81,7 @@
         std::string m_key;
         std::string m_topKey;
         size_t m_depth = 0;
-        bool m_any = false;
+        bool m_hasText = false;
     };
 
 }
@@ -97,10 +97,10 @@
     return body;
 }
 
-std::vector<uint64_t> promptPrefixes(std::string_view prompt)
+std::vector<uint64_t> promptPrefixHashes(std::string_view prompt)
 {
     std::vector<uint64_t> hashes;
-    for (size_t length = shortestPrefix; length <= prompt.size(); length *= 2)
+    for (size_t length = minPrefixBytes; length <= prompt.size(); length *= 2)
         hashes.push_back(hash64(prompt.substr(0, length)));
     return hashes;
 }
--- a/src/caller/chatbody.h
+++ b/src/caller/chatbody.h
@@ -20,6 +20,6 @@
 std::optional<ChatBody> parseChatBody(std::string_view json);
 
 // Hashes of the prompt's first 256, 512, 1024, ... bytes, which engines use as identifiers of cached prefixes.
-std::vector<uint64_t> promptPrefixes(std::string_view prompt);
+std::vector<uint64_t> promptPrefixHashes(std::string_view prompt);
 
 } // namespace Kumquatpick
--- a/src/caller/connection.cpp
+++ b/src/caller/connection.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-    constexpr size_t readBytes = 16 * 1024;
+    constexpr size_t readBufferBytes = 16 * 1024;
 
     thread_local CallerConnection* currentConnection = nullptr;
 
@@ -76,26 +76,26 @@
 
 CallerConnection::~CallerConnection() { ::close(m_socket); }
 
-CallerConnection* CallerConnection::ofThisThread() { return currentConnection; }
+CallerConnection* CallerConnection::forCurrentThread() { return currentConnection; }
 
 void CallerConnection::beginRequest()
 {
     m_buffer.erase(0, m_position);
     m_position = 0;
     m_line = {};
-    m_readBy = monotonicNow() + m_settings.requestReadTimeout;
-    m_read = 0;
+    m_readDeadline = monotonicNow() + m_settings.requestReadTimeout;
+    m_bytesRead = 0;
     m_readLimit = m_settings.headerLimitBytes;
     m_headBytes = 0;
     m_bodyBytes = 0;
     m_bodyHasLength = true;
-    m_overLimit = false;
-    m_written = 0;
+    m_isOverLimit = false;
+    m_bytesWritten = 0;
 }
 
-void CallerConnection::headRead(httplib::Request& request)
+void CallerConnection::processHead(httplib::Request& request)
 {
-    m_headBytes = m_read;
+    m_headBytes = m_bytesRead;
     m_line.target = std::move(request.target);
     request.path = "/";
     m_line.contentType = takeHeader(request, "Content-Type");
@@ -111,20 +111,20 @@
 void CallerConnection::checkFraming(httplib::Request& request)
 {
     if (!isPlainTarget(m_line.target))
-        m_line.problem = "the request target must be a path of printable ASCII characters";
+        m_line.framingProblem = "the request target must be a path of printable ASCII characters";
     std::string encoding = takeHeader(request, "Content-Encoding");
     if (!encoding.empty() && encoding != "identity")
-        m_line.problem = "encoded request bodies are not supported";
+        m_line.framingProblem = "encoded request bodies are not supported";
     size_t lengths = request.get_header_value_count("Content-Length");
     bool transferEncoding = request.has_header("Transfer-Encoding");
     if (lengths > 1 || (lengths > 0 && transferEncoding))
-        m_line.problem = "the request has more than one body length";
+        m_line.framingProblem = "the request has more than one body length";
     if (transferEncoding && request.get_header_value("Transfer-Encoding") != "chunked")
-        m_line.problem = "unsupported transfer encoding";
+        m_line.framingProblem = "unsupported transfer encoding";
     if (lengths == 1) {
         auto length = parseLength(request.get_header_value("Content-Length"));
         if (!length)
-            m_line.problem = "invalid Content-Length";
+            m_line.framingProblem = "invalid Content-Length";
         m_bodyBytes = length.value_or(0);
         m_bodyHasLength = length.has_value();
     } else if (transferEncoding) {
@@ -136,35 +136,35 @@
     }
 }
 
-bool CallerConnection::bodyConsumed() const
+bool CallerConnection::isBodyConsumed() const
 {
-    return m_headBytes > 0 && m_bodyHasLength && m_read >= m_headBytes + m_bodyBytes;
+    return m_headBytes > 0 && m_bodyHasLength && m_bytesRead >= m_headBytes + m_bodyBytes;
 }
 
-bool CallerConnection::callerGone() const
+bool CallerConnection::isCallerGone() const
 {
     char byte = 0;
     ssize_t got = recv(m_socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
-void CallerConnection::writeNow(std::string_view text)
+void CallerConnection::writeNonBlocking(std::string_view text)
 {
     (void)!send(m_socket, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
 void CallerConnection::shutdownWriting() { ::shutdown(m_socket, SHUT_WR); }
 
-void CallerConnection::cut() { ::shutdown(m_socket, SHUT_RDWR); }
+void CallerConnection::shutdownSocket() { ::shutdown(m_socket, SHUT_RDWR); }
 
 bool CallerConnection::waitFor(short events, MonotonicTime until) const
 {
     for (;;) {
-        auto left = std::chrono::ceil<Milliseconds>(until - monotonicNow());
-        if (left.count() <= 0)
+        auto remaining = std::chrono::ceil<Milliseconds>(until - monotonicNow());
+        if (remaining.count() <= 0)
             return false;
         pollfd entry { m_socket, events, 0 };
-        int ready = poll(&entry, 1, static_cast<int>(std::min<int64_t>(left.count(), 3'600'000)));
+        int ready = poll(&entry, 1, static_cast<int>(std::min<int64_t>(remaining.count(), 3'600'000)));
         if (ready > 0)
             return true;
         if (ready < 0 && errno != EINTR)
@@ -172,13 +172,13 @@
     }
 }
 
-bool CallerConnection::is_readable() const { return hasBuffered() || waitFor(POLLIN, m_readBy); }
+bool CallerConnection::is_readable() const { return hasBufferedInput() || waitFor(POLLIN, m_readDeadline); }
 
 bool CallerConnection::is_writable() const { return waitFor(POLLOUT, monotonicNow() + m_settings.stallTimeout); }
 
-bool CallerConnection::fill()
+bool CallerConnection::fillBuffer()
 {
-    m_buffer.resize(readBytes);
+    m_buffer.resize(readBufferBytes);
     m_position = 0;
     for (;;) {
         ssize_t got = recv(m_socket, m_buffer.data(), m_buffer.size(), MSG_DONTWAIT);
@@ -186,8 +186,8 @@
             m_buffer.resize(static_cast<size_t>(got));
             return got > 0;
         }
-        bool again = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-        if (!again || !waitFor(POLLIN, m_readBy)) {
+        bool isTransient = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+        if (!isTransient || !waitFor(POLLIN, m_readDeadline)) {
             m_buffer.clear();
             return false;
         }
@@ -196,16 +196,16 @@
 
 ssize_t CallerConnection::read(char* target, size_t size)
 {
-    if (m_read >= m_readLimit) {
-        m_overLimit = true;
+    if (m_bytesRead >= m_readLimit) {
+        m_isOverLimit = true;
         return -1;
     }
-    if (!hasBuffered() && !fill())
+    if (!hasBufferedInput() && !fillBuffer())
         return -1;
-    size_t count = std::min({ size, m_buffer.size() - m_position, m_readLimit - m_read });
+    size_t count = std::min({ size, m_buffer.size() - m_position, m_readLimit - m_bytesRead });
     std::copy_n(m_buffer.data() + m_position, count, target);
     m_position += count;
-    m_read += count;
+    m_bytesRead += count;
     return static_cast<ssize_t>(count);
 }
 
@@ -219,11 +219,11 @@
             sent += static_cast<size_t>(count);
             continue;
         }
-        bool again = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
-        if (!again || !waitFor(POLLOUT, monotonicNow() + m_settings.stallTimeout))
+        bool isTransient = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+        if (!isTransient || !waitFor(POLLOUT, monotonicNow() + m_settings.stallTimeout))
             return -1;
     }
-    m_written += sent;
+    m_bytesWritten += sent;
     return static_cast<ssize_t>(sent);
 }
 
@@ -243,8 +243,8 @@
         describeAddress(address, ip, port);
 }
 
-CurrentConnection::CurrentConnection(CallerConnection& connection) { currentConnection = &connection; }
+CurrentConnectionScope::CurrentConnectionScope(CallerConnection& connection) { currentConnection = &connection; }
 
-CurrentConnection::~CurrentConnection() { currentConnection = nullptr; }
+CurrentConnectionScope::~CurrentConnectionScope() { currentConnection = nullptr; }
 
 } // namespace Kumquatpick
--- a/src/caller/connection.h
+++ b/src/caller/connection.h
@@ -15,7 +15,7 @@
 struct RequestLine {
     std::string target; // Path and query as sent.
     std::string contentType;
-    std::string problem; // Why the framing is invalid; empty if it is valid.
+    std::string framingProblem; // Why the framing is invalid; empty if it is valid.
 
     // The target without its query.
     std::string_view path() const;
@@ -31,30 +31,30 @@
     CallerConnection& operator=(const CallerConnection&) = delete;
 
     // The connection whose request this thread is serving, or nullptr.
-    static CallerConnection* ofThisThread();
+    static CallerConnection* forCurrentThread();
 
     // Starts the read timeout and resets the byte counts for the next request.
     void beginRequest();
     // Called once the head is read. Applies the body limit to the bytes that follow and changes the request so that
     // the library reads its body as plain bytes and sends the complete response.
-    void headRead(httplib::Request&);
+    void processHead(httplib::Request&);
     const RequestLine& line() const { return m_line; }
 
     // Whether the request was read to its end, so that the next bytes start another request.
-    bool bodyConsumed() const;
-    bool hasBuffered() const { return m_position < m_buffer.size(); }
-    bool overLimit() const { return m_overLimit; }
+    bool isBodyConsumed() const;
+    bool hasBufferedInput() const { return m_position < m_buffer.size(); }
+    bool isOverLimit() const { return m_isOverLimit; }
     // These refer to the request in progress.
-    bool anythingRead() const { return m_read > 0; }
-    bool anythingWritten() const { return m_written > 0; }
+    bool hasReadInput() const { return m_bytesRead > 0; }
+    bool hasWrittenOutput() const { return m_bytesWritten > 0; }
 
     // Whether the caller closed its end or the connection broke.
-    bool callerGone() const;
+    bool isCallerGone() const;
     // Sends without blocking and ignores failures. Used by the accept thread for refusals.
-    void writeNow(std::string_view);
+    void writeNonBlocking(std::string_view);
     void shutdownWriting();
     // Shuts down the socket, which unblocks a thread that waits on it.
-    void cut();
+    void shutdownSocket();
 
     bool is_readable() const override;
     bool is_writable() const override;
@@ -65,9 +65,9 @@
     socket_t socket() const override { return m_socket; }
 
 private:
-    friend class CurrentConnection;
+    friend class CurrentConnectionScope;
 
-    bool fill();
+    bool fillBuffer();
     bool waitFor(short events, MonotonicTime until) const;
     void checkFraming(httplib::Request&);
 
@@ -77,23 +77,23 @@
     size_t m_position = 0;
 
     RequestLine m_line;
-    MonotonicTime m_readBy {};
-    size_t m_read = 0; // Bytes of the request in progress that the library has read.
+    MonotonicTime m_readDeadline {};
+    size_t m_bytesRead = 0; // Bytes of the request in progress that the library has read.
     size_t m_readLimit = 0;
     size_t m_headBytes = 0;
     size_t m_bodyBytes = 0; // The value of Content-Length.
     bool m_bodyHasLength = true;
-    bool m_overLimit = false;
-    size_t m_written = 0;
+    bool m_isOverLimit = false;
+    size_t m_bytesWritten = 0;
 };
 
-// Sets the connection that CallerConnection::ofThisThread() returns for the lifetime of this object.
-class CurrentConnection {
+// Sets the connection that CallerConnection::forCurrentThread() returns for the lifetime of this object.
+class CurrentConnectionScope {
 public:
-    explicit CurrentConnection(CallerConnection&);
-    ~CurrentConnection();
-    CurrentConnection(const CurrentConnection&) = delete;
-    CurrentConnection& operator=(const CurrentConnection&) = delete;
+    explicit CurrentConnectionScope(CallerConnection&);
+    ~CurrentConnectionScope();
+    CurrentConnectionScope(const CurrentConnectionScope&) = delete;
+    CurrentConnectionScope& operator=(const CurrentConnectionScope&) = delete;
 };
 
 } // namespace Kumquatpick
--- a/src/caller/collaborators.h
+++ b/src/caller/dependencies.h
@@ -52,7 +52,7 @@
 };
 
 // Dependencies of the caller-facing server. All are used by many threads at once and must outlive the server.
-struct Collaborators {
+struct CallerDependencies {
     NodeInfo self;
     Admission& admission;
     Router& router;
@@ -73,7 +73,7 @@
 
     // The accepted operators' text, or nullptr while none is known; no requests are served until then.
     std::function<std::shared_ptr<const OperatorsText>()> text;
-    std::function<bool()> ready;
+    std::function<bool()> isReady;
     std::function<std::vector<EntryNode>()> entryNodes; // Includes this node.
 
     // For the operators' endpoints.
--- a/src/caller/pages.cpp
+++ b/src/caller/endpoints.cpp
@@ -1,4 +1,4 @@
-#include "caller/pages.h"
+#include "caller/endpoints.h"
 
 #include "base/metrics.h"
 #include "caller/entries.h"
@@ -13,7 +13,7 @@
 
     using nlohmann::json;
 
-    constexpr size_t mostKeysAtOnce = 1000;
+    constexpr size_t maxKeysPerRequest = 1000;
 
     void writeJson(int status, const json& body, httplib::Response& response)
     {
@@ -110,9 +110,9 @@
 
 }
 
-void answerEntries(ServeContext& context, const RequestLine& line, httplib::Response& response)
+void answerEntries(ServerContext& context, const RequestLine& line, httplib::Response& response)
 {
-    auto nodes = context.parts.entryNodes();
+    auto nodes = context.dependencies.entryNodes();
     json entries = json::array();
     for (const EntryChoice& choice :
         chooseEntries(nodes, queryValue(line.target, "zone"), queryValue(line.target, "caller")))
@@ -122,16 +122,16 @@
         200, { { "entries", std::move(entries) }, { "ttl_ms", context.settings.entriesTimeToLive.count() } }, response);
 }
 
-void answerKeys(ServeContext& context, const httplib::Request& request, httplib::Response& response)
+void answerKeys(ServerContext& context, const httplib::Request& request, httplib::Response& response)
 {
     auto object = parseObject(request.body);
     uint64_t count = object && object->contains("count") ? numberField(*object, "count").value_or(0) : 1;
-    if (!object || count == 0 || count > mostKeysAtOnce)
+    if (!object || count == 0 || count > maxKeysPerRequest)
         return refuseMalformed("the body must be an object with a count from 1 to 1000", response);
     WallTime now = wallNow();
     json keys = json::array();
     for (uint64_t i = 0; i < count; ++i) {
-        std::string key = context.parts.mintKey(now);
+        std::string key = context.dependencies.mintKey(now);
         if (key.empty())
             return refuse(
                 RefusalType::NotReady, "no slot has a live owner and witness", context.settings.retryAfter, response);
@@ -141,7 +141,7 @@
 }
 
 void answerRequest(
-    ServeContext& context, std::string_view key, const httplib::Request& request, httplib::Response& response)
+    ServerContext& context, std::string_view key, const httplib::Request& request, httplib::Response& response)
 {
     auto found
         = context.answers.findByKey(std::string(key), request.get_header_value("Kumquatpick-Team"), monotonicNow());
@@ -165,31 +165,31 @@
     writeJson(200, body, response);
 }
 
-void answerReady(ServeContext& context, httplib::Response& response)
+void answerReady(ServerContext& context, httplib::Response& response)
 {
-    bool ready = !context.stopping && context.parts.ready();
+    bool ready = !context.stopping && context.dependencies.isReady();
     writeJson(ready ? 200 : 503, { { "ready", ready }, { "stopping", context.stopping.load() } }, response);
 }
 
-void answerMetrics(ServeContext& context, httplib::Response& response)
+void answerMetrics(ServerContext& context, httplib::Response& response)
 {
-    context.parts.metrics.set("in_flight", context.inFlight);
-    context.parts.metrics.set("kept_answer_bytes", static_cast<double>(context.answers.bytes()));
-    response.set_content(context.parts.metrics.prometheusText(), "text/plain; version=0.0.4");
+    context.dependencies.metrics.set("in_flight", context.inFlight);
+    context.dependencies.metrics.set("kept_answer_bytes", static_cast<double>(context.answers.bytes()));
+    response.set_content(context.dependencies.metrics.prometheusText(), "text/plain; version=0.0.4");
 }
 
-void answerConfig(ServeContext& context, httplib::Response& response)
+void answerConfig(ServerContext& context, httplib::Response& response)
 {
-    AcceptedText accepted = context.parts.acceptedText();
+    AcceptedText accepted = context.dependencies.acceptedText();
     writeJson(200, { { "version", accepted.version }, { "text", accepted.text } }, response);
 }
 
-void answerPublish(ServeContext& context, const httplib::Request& request, httplib::Response& response)
+void answerPublish(ServerContext& context, const httplib::Request& request, httplib::Response& response)
 {
     auto publish = parsePublish(request.body);
     if (!publish)
         return refuseMalformed("the body must have id (32 hex digits), based_on, text and operator", response);
-    PublishOutcome outcome = context.parts.publish(*publish);
+    PublishOutcome outcome = context.dependencies.publish(*publish);
     switch (outcome.kind) {
     case PublishOutcome::Kind::Accepted:
         return writeJson(200, { { "verdict", "accepted" }, { "version", outcome.version } }, response);
@@ -203,17 +203,17 @@
     }
 }
 
-void answerStatus(ServeContext& context, httplib::Response& response)
+void answerStatus(ServerContext& context, httplib::Response& response)
 {
-    writeJson(200, context.parts.status(), response);
+    writeJson(200, context.dependencies.status(), response);
 }
 
-void answerExplain(ServeContext& context, std::string_view requestId, httplib::Response& response)
+void answerExplain(ServerContext& context, std::string_view requestId, httplib::Response& response)
 {
-    auto trail = context.recent.find(requestId);
-    if (!trail)
+    auto trace = context.recent.find(requestId);
+    if (!trace)
         return notFound("the request is not among the latest requests of this node", response);
-    writeJson(200, trail->toJson(), response);
+    writeJson(200, trace->toJson(), response);
 }
 
 } // namespace Kumquatpick
--- a/src/caller/entries.cpp
+++ b/src/caller/entries.cpp
@@ -15,9 +15,9 @@
     // and should get hardly any load.
     constexpr double otherZoneWeight = 0.02;
 
-    struct Ranked {
+    struct RankedNode {
         EntryChoice choice;
-        bool near = false;
+        bool isInCallerZone = false;
         double score = 0; // Lower comes first.
     };
 
@@ -33,29 +33,30 @@
 
 std::vector<EntryChoice> chooseEntries(std::span<const EntryNode> nodes, std::string_view zone, std::string_view caller)
 {
-    std::vector<const EntryNode*> open;
+    std::vector<const EntryNode*> availableNodes;
     for (const EntryNode& node : nodes) {
         if (!node.stopping)
-            open.push_back(&node);
+            availableNodes.push_back(&node);
     }
-    if (open.empty())
+    if (availableNodes.empty())
         return {};
-    bool zoneHasNode = std::ranges::any_of(open, [&](auto* node) { return node->zone == zone; });
-    auto least = *std::ranges::min_element(open, {}, &EntryNode::streams);
-    std::vector<Ranked> ranked;
-    for (const EntryNode* node : open) {
-        bool near = node->zone == zone || !zoneHasNode;
-        double weight = (least->streams + baseStreams) / (node->streams + baseStreams);
+    bool zoneHasNode = std::ranges::any_of(availableNodes, [&](auto* node) { return node->zone == zone; });
+    auto leastLoaded = *std::ranges::min_element(availableNodes, {}, &EntryNode::streams);
+    std::vector<RankedNode> ranked;
+    for (const EntryNode* node : availableNodes) {
+        bool isInCallerZone = node->zone == zone || !zoneHasNode;
+        double weight = (leastLoaded->streams + baseStreams) / (node->streams + baseStreams);
         double score = rendezvousScore(caller, node->address, weight);
-        ranked.push_back({ { node->address, node->zone, near ? weight : weight * otherZoneWeight }, near, score });
+        ranked.push_back({ { node->address, node->zone, isInCallerZone ? weight : weight * otherZoneWeight },
+            isInCallerZone, score });
     }
-    std::ranges::sort(ranked, [](const Ranked& a, const Ranked& b) {
-        return std::tie(b.near, a.score, a.choice.address.ip, a.choice.address.port)
-            < std::tie(a.near, b.score, b.choice.address.ip, b.choice.address.port);
+    std::ranges::sort(ranked, [](const RankedNode& a, const RankedNode& b) {
+        return std::tie(b.isInCallerZone, a.score, a.choice.address.ip, a.choice.address.port)
+            < std::tie(a.isInCallerZone, b.score, b.choice.address.ip, b.choice.address.port);
     });
     std::vector<EntryChoice> choices;
     choices.reserve(ranked.size());
-    for (Ranked& entry : ranked)
+    for (RankedNode& entry : ranked)
         choices.push_back(std::move(entry.choice));
     return choices;
 }
--- a/src/caller/entries.h
+++ b/src/caller/entries.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/address.h"
-#include "caller/collaborators.h"
+#include "caller/dependencies.h"
 
 #include <span>
 #include <string>
--- a/src/caller/httpserver.cpp
+++ b/src/caller/httpserver.cpp
@@ -5,10 +5,10 @@
 namespace {
 
     constexpr size_t requestsPerConnection = 1'000'000;
-    constexpr CallerConnection* endOfWork = nullptr;
+    constexpr CallerConnection* stopSignal = nullptr;
 
     // The response to a request so malformed that the library closes the connection without a response.
-    std::string unreadableAnswer(const httplib::Response& response)
+    std::string malformedResponse(const httplib::Response& response)
     {
         std::string text
             = response.status == 413 ? "HTTP/1.1 413 Payload Too Large\r\n" : "HTTP/1.1 400 Bad Request\r\n";
@@ -24,7 +24,7 @@
     , m_handle(std::move(handle))
     , m_handleError(std::move(handleError))
     , m_listener(
-          settings, [this](auto connection) { return serve(std::move(connection)); }, std::move(busyAnswer))
+          settings, [this](auto connection) { return enqueue(std::move(connection)); }, std::move(busyAnswer))
 {
     m_waiting.set_capacity(static_cast<std::ptrdiff_t>(2 * settings.threads));
     set_keep_alive_max_count(requestsPerConnection);
@@ -39,7 +39,7 @@
 void HttpServer::setUpRoutes()
 {
     auto handle = [this](const httplib::Request& request, httplib::Response& response) {
-        m_handle(request, CallerConnection::ofThisThread()->line(), response);
+        m_handle(request, CallerConnection::forCurrentThread()->line(), response);
     };
     Get("/", handle);
     Post("/", handle);
@@ -49,7 +49,7 @@
     Options("/", handle);
     // Runs before the body is read, as reading it requires valid framing.
     set_pre_routing_handler([](const httplib::Request&, httplib::Response& response) {
-        if (CallerConnection::ofThisThread()->line().problem.empty())
+        if (CallerConnection::forCurrentThread()->line().framingProblem.empty())
             return HandlerResponse::Unhandled;
         response.status = 400;
         response.set_header("Connection", "close");
@@ -67,7 +67,7 @@
 {
     m_idleThreads = static_cast<int64_t>(m_settings.threads);
     for (size_t i = 0; i < m_settings.threads; ++i)
-        m_threads.emplace_back([this] { work(); });
+        m_threads.emplace_back([this] { runWorker(); });
     BOOST_LEAF_CHECK(m_listener.start());
     // The library ends streams once this is INVALID_SOCKET.
     svr_sock_ = m_listener.socket();
@@ -82,17 +82,17 @@
         std::lock_guard lock(m_activeMutex);
         m_stopped = true;
         for (auto* connection : m_active)
-            connection->cut();
+            connection->shutdownSocket();
     }
     for (size_t i = 0; i < m_threads.size(); ++i)
-        m_waiting.push(endOfWork);
+        m_waiting.push(stopSignal);
     for (auto& thread : m_threads)
         thread.join();
     m_threads.clear();
 }
 
 // Queues the connection if a thread is idle, otherwise returns it.
-std::unique_ptr<CallerConnection> HttpServer::serve(std::unique_ptr<CallerConnection> connection)
+std::unique_ptr<CallerConnection> HttpServer::enqueue(std::unique_ptr<CallerConnection> connection)
 {
     if (m_idleThreads.fetch_sub(1) <= 0) {
         m_idleThreads.fetch_add(1);
@@ -102,12 +102,12 @@
     return nullptr;
 }
 
-void HttpServer::work()
+void HttpServer::runWorker()
 {
     for (;;) {
         CallerConnection* next = nullptr;
         m_waiting.pop(next);
-        if (next == endOfWork)
+        if (next == stopSignal)
             return;
         serveRequests(std::unique_ptr<CallerConnection>(next));
         m_idleThreads.fetch_add(1);
@@ -122,42 +122,42 @@
             return;
         m_active.insert(connection.get());
     }
-    bool keep = true;
+    bool isReusable = true;
     do
-        keep = serveOne(*connection);
-    while (keep && connection->hasBuffered());
+        isReusable = serveRequest(*connection);
+    while (isReusable && connection->hasBufferedInput());
     {
         std::lock_guard lock(m_activeMutex);
         m_active.erase(connection.get());
     }
-    if (keep)
-        m_listener.park(std::move(connection));
+    if (isReusable)
+        m_listener.watchIdle(std::move(connection));
     else
-        m_listener.closeGently(std::move(connection));
+        m_listener.closeLingering(std::move(connection));
 }
 
 // Returns true if the connection may be used for another request.
-bool HttpServer::serveOne(CallerConnection& connection)
+bool HttpServer::serveRequest(CallerConnection& connection)
 {
     ++m_inProgress;
-    CurrentConnection current(connection);
+    CurrentConnectionScope current(connection);
     connection.beginRequest();
     bool closing = false;
-    bool whole
-        = process_request(connection, false, closing, [&](httplib::Request& request) { connection.headRead(request); });
-    if (!connection.anythingWritten() && connection.anythingRead())
-        answerUnreadable(connection);
+    bool isComplete = process_request(
+        connection, false, closing, [&](httplib::Request& request) { connection.processHead(request); });
+    if (!connection.hasWrittenOutput() && connection.hasReadInput())
+        respondMalformed(connection);
     --m_inProgress;
-    return whole && !closing && connection.line().problem.empty() && connection.bodyConsumed();
+    return isComplete && !closing && connection.line().framingProblem.empty() && connection.isBodyConsumed();
 }
 
-void HttpServer::answerUnreadable(CallerConnection& connection)
+void HttpServer::respondMalformed(CallerConnection& connection)
 {
     httplib::Request none;
     httplib::Response response;
-    response.status = connection.overLimit() ? 413 : 400;
+    response.status = connection.isOverLimit() ? 413 : 400;
     m_handleError(none, response);
-    std::string text = unreadableAnswer(response);
+    std::string text = malformedResponse(response);
     connection.write(text.data(), text.size());
 }
 
--- a/src/caller/httpserver.h
+++ b/src/caller/httpserver.h
@@ -38,11 +38,11 @@
 
 private:
     void setUpRoutes();
-    std::unique_ptr<CallerConnection> serve(std::unique_ptr<CallerConnection>);
-    void work();
+    std::unique_ptr<CallerConnection> enqueue(std::unique_ptr<CallerConnection>);
+    void runWorker();
     void serveRequests(std::unique_ptr<CallerConnection>);
-    bool serveOne(CallerConnection&);
-    void answerUnreadable(CallerConnection&);
+    bool serveRequest(CallerConnection&);
+    void respondMalformed(CallerConnection&);
 
     const CallerSettings& m_settings;
     Handle m_handle;
--- a/src/caller/listener.cpp
+++ b/src/caller/listener.cpp
@@ -18,8 +18,8 @@
 
     constexpr int backlog = 1024;
     constexpr size_t watchedLimit = 8192;
-    constexpr Milliseconds tick { 100 };
-    constexpr Milliseconds gentleClose { 1'000 };
+    constexpr Milliseconds pollInterval { 100 };
+    constexpr Milliseconds lingerTimeout { 1'000 };
     // Without a free descriptor accept() fails at once, so the loop would use a full core without this pause.
     constexpr Milliseconds acceptPause { 10 };
 
@@ -57,7 +57,7 @@
         return ntohs(reinterpret_cast<const sockaddr_in&>(bound).sin_port);
     }
 
-    void watchSocket(int epoll, int socket, uint32_t events)
+    void addToEpoll(int epoll, int socket, uint32_t events)
     {
         epoll_event event {};
         event.events = events;
@@ -93,9 +93,9 @@
         return refused(std::strerror(errno)); // NOLINT(concurrency-mt-unsafe)
     m_port = boundPort(m_socket);
     m_epoll = epoll_create1(EPOLL_CLOEXEC);
-    m_wake = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
-    watchSocket(m_epoll, m_socket, EPOLLIN);
-    watchSocket(m_epoll, m_wake, EPOLLIN);
+    m_wakeEvent = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+    addToEpoll(m_epoll, m_socket, EPOLLIN);
+    addToEpoll(m_epoll, m_wakeEvent, EPOLLIN);
     m_thread = std::thread([this] { run(); });
     return {};
 }
@@ -108,11 +108,11 @@
     }
     if (m_thread.joinable()) {
         uint64_t one = 1;
-        (void)!write(m_wake, &one, sizeof one);
+        (void)!write(m_wakeEvent, &one, sizeof one);
         m_thread.join();
     }
     m_watched.clear();
-    for (int* descriptor : { &m_socket, &m_epoll, &m_wake }) {
+    for (int* descriptor : { &m_socket, &m_epoll, &m_wakeEvent }) {
         if (*descriptor >= 0)
             ::close(*descriptor);
         *descriptor = -1;
@@ -123,7 +123,7 @@
 {
     std::array<epoll_event, 64> events {};
     for (;;) {
-        int count = epoll_wait(m_epoll, events.data(), events.size(), static_cast<int>(tick.count()));
+        int count = epoll_wait(m_epoll, events.data(), events.size(), static_cast<int>(pollInterval.count()));
         {
             std::lock_guard lock(m_mutex);
             if (m_stopping)
@@ -133,7 +133,7 @@
             if (events[i].data.fd == m_socket)
                 accept();
             else
-                readable(events[i].data.fd);
+                onReadable(events[i].data.fd);
         }
         closeExpired(monotonicNow());
     }
@@ -147,17 +147,17 @@
             std::this_thread::sleep_for(acceptPause);
         return;
     }
-    park(std::make_unique<CallerConnection>(socket, m_settings));
+    watchIdle(std::make_unique<CallerConnection>(socket, m_settings));
 }
 
-void Listener::readable(int socket)
+void Listener::onReadable(int socket)
 {
-    if (dropInput(socket))
+    if (discardInput(socket))
         return;
     auto connection = unwatch(socket);
     if (!connection)
         return;
-    if (connection->callerGone())
+    if (connection->isCallerGone())
         return;
     if (auto refused = m_serve(std::move(connection)))
         refuseBusy(std::move(refused));
@@ -166,12 +166,12 @@
 // The request was not read, so the response can only ask the caller to retry.
 void Listener::refuseBusy(std::unique_ptr<CallerConnection> connection)
 {
-    connection->writeNow(m_busyAnswer);
-    closeGently(std::move(connection));
+    connection->writeNonBlocking(m_busyAnswer);
+    closeLingering(std::move(connection));
 }
 
 // Discards the input of a socket that is being closed. Returns false for any other socket.
-bool Listener::dropInput(int socket)
+bool Listener::discardInput(int socket)
 {
     std::lock_guard lock(m_mutex);
     auto found = m_watched.find(socket);
@@ -184,15 +184,15 @@
     return true;
 }
 
-void Listener::park(std::unique_ptr<CallerConnection> connection)
+void Listener::watchIdle(std::unique_ptr<CallerConnection> connection)
 {
     watch(std::move(connection), m_settings.keepAlive, false);
 }
 
-void Listener::closeGently(std::unique_ptr<CallerConnection> connection)
+void Listener::closeLingering(std::unique_ptr<CallerConnection> connection)
 {
     connection->shutdownWriting();
-    watch(std::move(connection), gentleClose, true);
+    watch(std::move(connection), lingerTimeout, true);
 }
 
 void Listener::watch(std::unique_ptr<CallerConnection> connection, Milliseconds atMost, bool closing)
@@ -202,7 +202,7 @@
     if (m_stopping || m_watched.size() >= watchedLimit)
         return;
     m_watched[socket] = { std::move(connection), monotonicNow() + atMost, closing };
-    watchSocket(m_epoll, socket, EPOLLIN | EPOLLRDHUP);
+    addToEpoll(m_epoll, socket, EPOLLIN | EPOLLRDHUP);
 }
 
 std::unique_ptr<CallerConnection> Listener::unwatch(int socket)
--- a/src/caller/listener.h
+++ b/src/caller/listener.h
@@ -30,10 +30,10 @@
     void stop();
 
     // Polls an idle connection for its next request.
-    void park(std::unique_ptr<CallerConnection>);
+    void watchIdle(std::unique_ptr<CallerConnection>);
     // Closes a connection that may have unread input. Closing at once would reset it, and the caller might lose the
     // answer that was just sent. Input is therefore read and discarded for up to one second before.
-    void closeGently(std::unique_ptr<CallerConnection>);
+    void closeLingering(std::unique_ptr<CallerConnection>);
 
 private:
     struct Watched {
@@ -44,19 +44,19 @@
 
     void run();
     void accept();
-    void readable(int socket);
+    void onReadable(int socket);
     void refuseBusy(std::unique_ptr<CallerConnection>);
     void watch(std::unique_ptr<CallerConnection>, Milliseconds atMost, bool closing);
     std::unique_ptr<CallerConnection> unwatch(int socket);
     void closeExpired(MonotonicTime now);
-    bool dropInput(int socket);
+    bool discardInput(int socket);
 
     const CallerSettings& m_settings;
     Serve m_serve;
     std::string m_busyAnswer;
     int m_socket = -1;
     int m_epoll = -1;
-    int m_wake = -1;
+    int m_wakeEvent = -1;
     uint16_t m_port = 0;
     std::mutex m_mutex;
     std::map<int, Watched> m_watched;
--- a/src/caller/explain.cpp
+++ b/src/caller/recentrequests.cpp
@@ -1,6 +1,6 @@
-#include "caller/explain.h"
+#include "caller/recentrequests.h"
 
-#include "caller/trail.h"
+#include "caller/requesttrace.h"
 
 namespace Kumquatpick {
 
@@ -9,20 +9,20 @@
 {
 }
 
-void RecentRequests::add(std::shared_ptr<const RequestTrail> trail)
+void RecentRequests::add(std::shared_ptr<const RequestTrace> trace)
 {
-    std::shared_ptr<const RequestTrail> dropped; // Destroyed after the lock is released.
+    std::shared_ptr<const RequestTrace> dropped; // Destroyed after the lock is released.
     std::lock_guard lock(m_mutex);
     if (m_order.size() >= m_limit) {
         dropped = std::move(m_order.front());
         m_order.pop_front();
         m_byId.erase(dropped->requestId());
     }
-    m_byId[trail->requestId()] = trail;
-    m_order.push_back(std::move(trail));
+    m_byId[trace->requestId()] = trace;
+    m_order.push_back(std::move(trace));
 }
 
-std::shared_ptr<const RequestTrail> RecentRequests::find(std::string_view requestId) const
+std::shared_ptr<const RequestTrace> RecentRequests::find(std::string_view requestId) const
 {
     std::lock_guard lock(m_mutex);
     auto found = m_byId.find(requestId);
--- a/src/caller/request.cpp
+++ b/src/caller/request.cpp
@@ -13,10 +13,10 @@
 namespace {
 
     constexpr std::string_view servicePrefix = "/v1/services/";
-    constexpr size_t longestName = 200; // For keys, teams and services.
+    constexpr size_t maxNameLength = 200; // For keys, teams and services.
     // Tolerance for callers whose clocks are ahead. A key issued further in the future would stay valid for longer than
     // the journals keep it.
-    constexpr Milliseconds clockSkew { 300'000 };
+    constexpr Milliseconds maxClockSkew { 300'000 };
 
     struct HeaderField {
         bool present = false;
@@ -24,7 +24,7 @@
         std::string_view value;
     };
 
-    HeaderField field(const httplib::Headers& headers, const char* name)
+    HeaderField headerField(const httplib::Headers& headers, const char* name)
     {
         auto [first, last] = headers.equal_range(name);
         if (first == last)
@@ -35,7 +35,7 @@
     bool isPlainName(std::string_view text)
     {
         auto plain = [](char c) { return c > ' ' && c < 0x7f && c != '"' && c != '\\'; };
-        return !text.empty() && text.size() <= longestName && std::ranges::all_of(text, plain);
+        return !text.empty() && text.size() <= maxNameLength && std::ranges::all_of(text, plain);
     }
 
     template <typename Number> std::optional<Number> parseNumber(std::string_view text)
@@ -49,9 +49,10 @@
 
     // Returns the fallback if the header is absent and nullopt if it is invalid.
     template <typename Number>
-    std::optional<Number> numberOr(const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
+    std::optional<Number> numberHeaderOr(
+        const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
     {
-        HeaderField header = field(headers, name);
+        HeaderField header = headerField(headers, name);
         if (!header.present)
             return fallback;
         if (header.ambiguous)
@@ -59,11 +60,11 @@
         return parseNumber<Number>(header.value);
     }
 
-    // Returns nullopt if the header is invalid. identify() then treats the request as not repeatable, so that it can't
-    // run twice.
+    // Returns nullopt if the header is invalid. parseIdentity() then treats the request as not repeatable, so that it
+    // can't run twice.
     std::optional<bool> parseRepeatable(std::string_view method, const httplib::Headers& headers)
     {
-        HeaderField header = field(headers, "Kumquatpick-Repeatable");
+        HeaderField header = headerField(headers, "Kumquatpick-Repeatable");
         if (!header.present)
             return method == "GET" || method == "HEAD";
         if (!header.ambiguous && header.value == "true")
@@ -75,7 +76,7 @@
 
     std::optional<Priority> parsePriority(const httplib::Headers& headers)
     {
-        HeaderField header = field(headers, "Kumquatpick-Priority");
+        HeaderField header = headerField(headers, "Kumquatpick-Priority");
         if (!header.present || header.value == "normal")
             return header.ambiguous ? std::nullopt : std::optional(Priority::Normal);
         if (!header.ambiguous && header.value == "low")
@@ -90,7 +91,7 @@
     {
         if (auto minted = MintedKey::parse(key))
             return minted->issued;
-        auto issued = numberOr<int64_t>(headers, "Kumquatpick-Issued", std::nullopt);
+        auto issued = numberHeaderOr<int64_t>(headers, "Kumquatpick-Issued", std::nullopt);
         if (!issued || *issued <= 0)
             return std::nullopt;
         return WallTime { Milliseconds(*issued) };
@@ -98,24 +99,24 @@
 
     std::optional<RequestKey> parseKey(const httplib::Headers& headers, WallTime now)
     {
-        HeaderField key = field(headers, "Idempotency-Key");
+        HeaderField key = headerField(headers, "Idempotency-Key");
         if (key.ambiguous || !isPlainName(key.value))
             return std::nullopt;
-        auto attempt = numberOr<uint32_t>(headers, "Kumquatpick-Attempt", 1);
+        auto attempt = numberHeaderOr<uint32_t>(headers, "Kumquatpick-Attempt", 1);
         auto issued = parseIssued(key.value, headers);
-        if (!attempt || *attempt == 0 || !issued || *issued > now + clockSkew)
+        if (!attempt || *attempt == 0 || !issued || *issued > now + maxClockSkew)
             return std::nullopt;
         return RequestKey { std::string(key.value), *attempt, *issued };
     }
 
     // Each function parses one part and returns a refusal if that part is invalid.
-    using Check = std::optional<Refusal>;
+    using OptionalRefusal = std::optional<Refusal>;
 
     Refusal malformed(std::string message) { return { Outcome::NotRun, RefusalType::Malformed, std::move(message) }; }
 
-    Check readTeam(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readTeam(const RawRequest& raw, CallerRequest& request)
     {
-        HeaderField team = field(raw.headers, "Kumquatpick-Team");
+        HeaderField team = headerField(raw.headers, "Kumquatpick-Team");
         if (!team.present)
             return Refusal { Outcome::NotRun, RefusalType::UnknownTeam, "Kumquatpick-Team is missing" };
         if (team.ambiguous || !isPlainName(team.value))
@@ -124,7 +125,7 @@
         return std::nullopt;
     }
 
-    Check readPriority(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readPriority(const RawRequest& raw, CallerRequest& request)
     {
         auto priority = parsePriority(raw.headers);
         if (!priority)
@@ -133,18 +134,19 @@
         return std::nullopt;
     }
 
-    Check readDeadline(const RawRequest& raw, const CallerSettings& settings, CallerRequest& request)
+    OptionalRefusal readDeadline(const RawRequest& raw, const CallerSettings& settings, CallerRequest& request)
     {
-        auto deadline = numberOr<int64_t>(raw.headers, "Kumquatpick-Deadline-Ms", settings.defaultDeadline.count());
+        auto deadline
+            = numberHeaderOr<int64_t>(raw.headers, "Kumquatpick-Deadline-Ms", settings.defaultDeadline.count());
         if (!deadline)
             return malformed("Kumquatpick-Deadline-Ms must be a whole number of milliseconds");
         if (*deadline <= 0)
             return Refusal { Outcome::NotRun, RefusalType::DeadlinePassed, "the deadline has passed" };
-        request.timeout = std::min(Milliseconds(*deadline), settings.longestDeadline);
+        request.timeout = std::min(Milliseconds(*deadline), settings.maxDeadline);
         return std::nullopt;
     }
 
-    Check readKey(const RawRequest& raw, WallTime now, CallerRequest& request)
+    OptionalRefusal readKey(const RawRequest& raw, WallTime now, CallerRequest& request)
     {
         auto repeatable = parseRepeatable(raw.method, raw.headers);
         if (!repeatable)
@@ -155,17 +157,17 @@
             request.key = std::move(*key);
         if (key || request.repeatable)
             return std::nullopt;
-        if (!field(raw.headers, "Idempotency-Key").present)
+        if (!headerField(raw.headers, "Idempotency-Key").present)
             return Refusal { Outcome::NotRun, RefusalType::MissingKey,
                 "a request that is not repeatable needs an Idempotency-Key" };
         // Without an issue time, a resend that arrives after the journals dropped the key would run again.
-        if (!field(raw.headers, "Kumquatpick-Issued").present)
+        if (!headerField(raw.headers, "Kumquatpick-Issued").present)
             return Refusal { Outcome::NotRun, RefusalType::MissingKey,
                 "an Idempotency-Key needs its issue time in Kumquatpick-Issued" };
         return malformed("Idempotency-Key, Kumquatpick-Attempt or Kumquatpick-Issued is invalid");
     }
 
-    Check readChat(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readChat(const RawRequest& raw, CallerRequest& request)
     {
         request.kind = RequestKind::Chat;
         if (raw.method != "POST")
@@ -175,11 +177,11 @@
             return malformed("the body must be a JSON object with a model");
         request.service = std::move(chat->model);
         request.upstreamPath = raw.target;
-        request.prefixes = promptPrefixes(chat->prompt);
+        request.prefixHashes = promptPrefixHashes(chat->prompt);
         return std::nullopt;
     }
 
-    Check readServiceCall(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readServiceCall(const RawRequest& raw, CallerRequest& request)
     {
         request.kind = RequestKind::ServiceCall;
         std::string_view rest = raw.target.substr(servicePrefix.size());
@@ -191,9 +193,9 @@
         return std::nullopt;
     }
 
-    Check readCall(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readCall(const RawRequest& raw, CallerRequest& request)
     {
-        Check refusal = isServicePath(raw.target) ? readServiceCall(raw, request) : readChat(raw, request);
+        OptionalRefusal refusal = isServicePath(raw.target) ? readServiceCall(raw, request) : readChat(raw, request);
         if (refusal)
             return refusal;
         if (!isPlainName(request.service))
@@ -219,7 +221,7 @@
 
 bool isServicePath(std::string_view path) { return path.starts_with(servicePrefix); }
 
-RequestIdentity identify(std::string_view method, const httplib::Headers& headers, WallTime now)
+RequestIdentity parseIdentity(std::string_view method, const httplib::Headers& headers, WallTime now)
 {
     return { parseRepeatable(method, headers).value_or(false), parseKey(headers, now) };
 }
@@ -227,17 +229,17 @@
 std::variant<CallerRequest, Refusal> parseRequest(const RawRequest& raw, const CallerSettings& settings, WallTime now)
 {
     CallerRequest request;
-    if (Check refusal = readKey(raw, now, request))
+    if (OptionalRefusal refusal = readKey(raw, now, request))
         return *refusal;
-    if (Check refusal = readTeam(raw, request))
+    if (OptionalRefusal refusal = readTeam(raw, request))
         return *refusal;
-    if (Check refusal = readPriority(raw, request))
+    if (OptionalRefusal refusal = readPriority(raw, request))
         return *refusal;
-    if (Check refusal = readDeadline(raw, settings, request))
+    if (OptionalRefusal refusal = readDeadline(raw, settings, request))
         return *refusal;
-    if (Check refusal = readCall(raw, request))
+    if (OptionalRefusal refusal = readCall(raw, request))
         return *refusal;
-    HeaderField trace = field(raw.headers, "traceparent");
+    HeaderField trace = headerField(raw.headers, "traceparent");
     if (trace.present && !trace.ambiguous)
         request.trace = TraceContext::parse(trace.value);
     request.fingerprint = fingerprintOf(request);
--- a/src/caller/request.h
+++ b/src/caller/request.h
@@ -37,7 +37,7 @@
     std::string upstreamPath; // Includes the query.
     std::string contentType;
     std::string body;
-    std::vector<uint64_t> prefixes;
+    std::vector<uint64_t> prefixHashes;
     std::string team;
     Priority priority = Priority::Normal;
     bool repeatable = false;
@@ -55,7 +55,7 @@
     std::optional<RequestKey> key;
 };
 
-RequestIdentity identify(std::string_view method, const httplib::Headers&, WallTime now);
+RequestIdentity parseIdentity(std::string_view method, const httplib::Headers&, WallTime now);
 
 // Returns a request of which every part is well-formed, or the refusal. Does not throw on malformed input.
 std::variant<CallerRequest, Refusal> parseRequest(const RawRequest&, const CallerSettings&, WallTime now);
--- a/src/caller/trail.h
+++ b/src/caller/requesttrace.h
@@ -13,15 +13,15 @@
 
 // The trace of a request at this node, with one entry and one span for each hop. Written by the thread that serves the
 // request, read by others for /v1/explain.
-class RequestTrail {
+class RequestTrace {
 public:
     // Starts a new trace if there is no parent.
-    RequestTrail(std::string requestId, const std::optional<TraceContext>& parent, TraceExporter&, Random&);
+    RequestTrace(std::string requestId, const std::optional<TraceContext>& parent, TraceExporter&, Random&);
 
     const std::string& requestId() const { return m_requestId; }
     // The span of the whole request, for the response.
     std::string traceparent() const { return m_root.context.header(); }
-    void describe(std::string_view field, std::string value);
+    void addField(std::string_view field, std::string value);
     void finish(std::string_view outcome, std::string_view type, bool failed);
 
     nlohmann::json toJson() const;
@@ -29,7 +29,7 @@
     // One hop, timed from its construction to its destruction.
     class Hop {
     public:
-        Hop(RequestTrail&, Random&, std::string_view name);
+        Hop(RequestTrace&, Random&, std::string_view name);
         ~Hop();
         Hop(const Hop&) = delete;
         Hop& operator=(const Hop&) = delete;
@@ -41,10 +41,10 @@
         std::string traceparent() const { return m_span.context.header(); }
 
     private:
-        RequestTrail& m_trail;
+        RequestTrace& m_trace;
         Span m_span;
         std::string m_detail;
-        MonotonicTime m_begun;
+        MonotonicTime m_startedAt;
     };
 
 private:
@@ -53,15 +53,15 @@
         std::string peer;
         std::string detail;
         std::chrono::nanoseconds at {}; // Since the request arrived.
-        std::chrono::nanoseconds took {};
+        std::chrono::nanoseconds duration {};
         bool failed = false;
     };
 
-    void add(const Span&, std::string detail, MonotonicTime begun);
+    void add(const Span&, std::string detail, MonotonicTime startedAt);
 
     std::string m_requestId;
     TraceExporter& m_exporter;
-    MonotonicTime m_arrived;
+    MonotonicTime m_arrivedAt;
     Span m_root;
     mutable std::mutex m_mutex;
     std::vector<std::pair<std::string, std::string>> m_fields;
--- a/src/caller/serve.cpp
+++ b/src/caller/serve.cpp
@@ -1,4 +1,4 @@
-#include "caller/serving.h"
+#include "caller/requesthandler.h"
 
 #include "base/metrics.h"
 #include "policy/suspicion.h"
@@ -6,14 +6,14 @@
 namespace Kumquatpick {
 
 // The steps of a request, in order. Each step either ends the request or lets the next one run.
-const Serving::StepFunction Serving::steps[] = {
-    &Serving::parse,
-    &Serving::recogniseResend,
-    &Serving::findService,
-    &Serving::checkPoison,
-    &Serving::admit,
-    &Serving::takePermit,
-    &Serving::dispatch,
+const RequestHandler::StepFunction RequestHandler::steps[] = {
+    &RequestHandler::parse,
+    &RequestHandler::checkResend,
+    &RequestHandler::findService,
+    &RequestHandler::checkPoison,
+    &RequestHandler::admit,
+    &RequestHandler::acquirePermit,
+    &RequestHandler::dispatch,
 };
 
 Random& threadRandom()
@@ -22,67 +22,69 @@
     return random;
 }
 
-Serving::Serving(ServeContext& context, const httplib::Request& http, const RequestLine& line)
+RequestHandler::RequestHandler(ServerContext& context, const httplib::Request& http, const RequestLine& line)
     : m_context(context)
-    , m_parts(context.parts)
+    , m_dependencies(context.dependencies)
     , m_line(line)
-    , m_http(http)
-    , m_connection(CallerConnection::ofThisThread())
+    , m_httpRequest(http)
+    , m_connection(CallerConnection::forCurrentThread())
     , m_arrivedAt(monotonicNow())
-    , m_arrival { context.parts.self.id.incarnation, ++context.lastSerial }
-    , m_identity(identify(http.method, http.headers, wallNow()))
+    , m_arrivalId { context.dependencies.self.id.incarnation, ++context.lastSerial }
+    , m_identity(parseIdentity(http.method, http.headers, wallNow()))
 {
     auto parent = TraceContext::parse(http.get_header_value("traceparent"));
-    m_trail = std::make_shared<RequestTrail>(randomHex128(threadRandom()), parent, m_parts.traces, threadRandom());
-    m_context.recent.add(m_trail);
+    m_trace
+        = std::make_shared<RequestTrace>(randomHex128(threadRandom()), parent, m_dependencies.traces, threadRandom());
+    m_context.recent.add(m_trace);
     ++m_context.inFlight;
 }
 
-Serving::~Serving()
+RequestHandler::~RequestHandler()
 {
-    if (!m_ended)
-        callerLeft();
+    if (!m_isFinished)
+        handleDisconnect();
     --m_context.inFlight;
 }
 
-void Serving::serve(httplib::Response& response)
+void RequestHandler::serve(httplib::Response& response)
 {
     for (StepFunction step : steps) {
         if (StepResult ending = (this->*step)())
             return end(std::move(*ending), response);
     }
     if (m_bodyEnded)
-        answerWhole(response);
+        respondWhole(response);
     else
-        answerStreaming(response);
+        respondStreaming(response);
 }
 
-void Serving::refuseUnread(Refusal refused, httplib::Response& response) { end(std::move(refused), response); }
+void RequestHandler::refuseUnread(Refusal refused, httplib::Response& response) { end(std::move(refused), response); }
 
-Serving::StepResult Serving::parse()
+RequestHandler::StepResult RequestHandler::parse()
 {
-    RawRequest raw { m_http.method, m_line.target, m_line.contentType, m_http.body, m_http.headers };
+    RawRequest raw { m_httpRequest.method, m_line.target, m_line.contentType, m_httpRequest.body,
+        m_httpRequest.headers };
     auto parsed = parseRequest(raw, m_context.settings, wallNow());
     if (auto* refusal = std::get_if<Refusal>(&parsed))
         return std::move(*refusal);
     m_request = std::move(std::get<CallerRequest>(parsed));
     m_deadline = m_arrivedAt + m_request.timeout;
-    m_trail->describe("service", m_request.service);
-    m_trail->describe("team", m_request.team);
-    m_trail->describe("key", m_request.key.key);
+    m_trace->addField("service", m_request.service);
+    m_trace->addField("team", m_request.team);
+    m_trace->addField("key", m_request.key.key);
     return std::nullopt;
 }
 
 // A resend with the same key and content gets the same answer. Reserving the key here also prevents two arrivals
 // at this node from requesting a permit at the same time.
-Serving::StepResult Serving::recogniseResend()
+RequestHandler::StepResult RequestHandler::checkResend()
 {
     if (!isKeyed())
         return std::nullopt;
-    AnswerStore::Found found = m_context.answers.begin(answerKey(), monotonicNow());
+    AnswerStore::FindResult found = m_context.answers.reserveKey(answerKey(), monotonicNow());
     switch (found.state) {
     case AnswerStore::State::Unknown:
-        m_begun = true;
+        m_isKeyReserved = true;
         return std::nullopt;
     case AnswerStore::State::Running:
         return refusal(Outcome::Undecided, RefusalType::Undecided, Step::Accept,
@@ -99,12 +101,12 @@
     return std::nullopt;
 }
 
-Serving::StepResult Serving::findService()
+RequestHandler::StepResult RequestHandler::findService()
 {
     if (m_context.stopping)
         return refusal(Outcome::NotRun, RefusalType::Stopping, Step::Accept, "this node is stopping");
-    m_text = m_parts.text();
-    if (!m_text || !m_parts.ready())
+    m_text = m_dependencies.text();
+    if (!m_text || !m_dependencies.isReady())
         return refusal(Outcome::NotRun, RefusalType::NotReady, Step::Accept, "this node is not ready");
     if (!m_text->team(m_request.team))
         return Refusal { Outcome::NotRun, RefusalType::UnknownTeam, "unknown team " + m_request.team };
@@ -115,26 +117,26 @@
     return std::nullopt;
 }
 
-Serving::StepResult Serving::checkPoison()
+RequestHandler::StepResult RequestHandler::checkPoison()
 {
     m_poisonFingerprint = requestFingerprint(m_request.service, m_request.body);
     MonotonicTime now = monotonicNow();
-    if (m_parts.suspicion.mayDispatch(m_poisonFingerprint, now))
+    if (m_dependencies.suspicion.mayDispatch(m_poisonFingerprint, now))
         return std::nullopt;
     Refusal stopped = refusal(Outcome::NotRun, RefusalType::Poison, Step::Route,
         "backend servers failed while running requests with this content");
-    stopped.retryAfter = m_parts.suspicion.retryAfter(m_poisonFingerprint, now);
+    stopped.retryAfter = m_dependencies.suspicion.retryAfter(m_poisonFingerprint, now);
     return stopped;
 }
 
-Serving::StepResult Serving::admit()
+RequestHandler::StepResult RequestHandler::admit()
 {
-    RequestTrail::Hop hop(*m_trail, threadRandom(), "admit");
+    RequestTrace::Hop hop(*m_trace, threadRandom(), "admit");
     MonotonicTime asked = monotonicNow();
     AdmissionOutcome outcome
-        = m_parts.admission.admit({ m_request.service, m_request.team, m_request.priority, m_deadline });
+        = m_dependencies.admission.admit({ m_request.service, m_request.team, m_request.priority, m_deadline });
     m_admittedAt = monotonicNow();
-    m_parts.metrics.observe("admission_wait_seconds", m_admittedAt - asked);
+    m_dependencies.metrics.observe("admission_wait_seconds", m_admittedAt - asked);
     m_admitted = outcome.verdict == AdmissionVerdict::Admitted;
     if (m_admitted) {
         hop.end("admitted");
@@ -148,19 +150,19 @@
 
 // Requests the permit to run a non-repeatable request once. The timeout is short, so that the caller can retry at
 // another node instead of waiting.
-Serving::StepResult Serving::takePermit()
+RequestHandler::StepResult RequestHandler::acquirePermit()
 {
     if (!isKeyed())
         return std::nullopt;
-    RequestTrail::Hop hop(*m_trail, threadRandom(), "permit");
+    RequestTrace::Hop hop(*m_trace, threadRandom(), "permit");
     MonotonicTime asked = monotonicNow();
     MonotonicTime until = std::min(m_deadline, asked + m_context.settings.permitTimeout);
-    PermitOutcome permit = m_parts.permit(m_request.key, m_arrival, until);
-    m_parts.metrics.observe("permit_seconds", monotonicNow() - asked);
+    PermitOutcome permit = m_dependencies.permit(m_request.key, m_arrivalId, until);
+    m_dependencies.metrics.observe("permit_seconds", monotonicNow() - asked);
     hop.end(std::string(permitText(permit.answer)), permit.answer != PermitAnswer::Granted);
     if (permit.answer == PermitAnswer::Granted)
         return std::nullopt;
-    return withoutPermit(permit);
+    return resolvePermitDenial(permit);
 }
 
 } // namespace Kumquatpick
--- a/src/caller/server.cpp
+++ b/src/caller/server.cpp
@@ -1,9 +1,9 @@
 #include "caller/server.h"
 
+#include "caller/endpoints.h"
 #include "caller/httpserver.h"
-#include "caller/pages.h"
+#include "caller/requesthandler.h"
 #include "caller/respond.h"
-#include "caller/serving.h"
 
 #include <nlohmann/json.hpp>
 #include <thread>
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr Milliseconds drainPoll { 10 };
+    constexpr Milliseconds drainPollInterval { 10 };
 
     constexpr std::string_view requestsPath = "/v1/requests/";
     constexpr std::string_view explainPath = "/v1/explain/";
@@ -37,28 +37,29 @@
         if (status >= 500)
             return { Outcome::Undecided, RefusalType::Undecided, "internal error of this node", Step::Accept, {},
                 settings.retryAfter, {} };
-        const auto* connection = CallerConnection::ofThisThread();
-        std::string problem = connection ? connection->line().problem : "";
-        return { Outcome::NotRun, RefusalType::Malformed, problem.empty() ? "the request is malformed" : problem };
+        const auto* connection = CallerConnection::forCurrentThread();
+        std::string framingProblem = connection ? connection->line().framingProblem : "";
+        return { Outcome::NotRun, RefusalType::Malformed,
+            framingProblem.empty() ? "the request is malformed" : framingProblem };
     }
 
     template <typename Condition> bool waitUntil(MonotonicTime deadline, Condition&& condition)
     {
         while (!condition() && monotonicNow() < deadline)
-            std::this_thread::sleep_for(drainPoll);
+            std::this_thread::sleep_for(drainPollInterval);
         return condition();
     }
 
-    bool takesRequests(std::string_view path) { return path == chatPath || isServicePath(path); }
+    bool isRequestPath(std::string_view path) { return path == chatPath || isServicePath(path); }
 
 }
 
 struct CallerServer::Impl {
-    Impl(CallerSettings settings, Collaborators collaborators)
+    Impl(CallerSettings settings, CallerDependencies callerDependencies)
         : settings(std::move(settings))
-        , parts(std::move(collaborators))
-        , context { this->settings, parts, { this->settings.answerBytes, this->settings.answerLifetime }, {},
-            RecentRequests(this->settings.explainedRequests) }
+        , dependencies(std::move(callerDependencies))
+        , context { this->settings, dependencies, { this->settings.answerStoreBytes, this->settings.answerLifetime },
+            {}, RecentRequests(this->settings.recentRequestLimit) }
         , http(
               this->settings,
               [this](const httplib::Request& request, const RequestLine& line, httplib::Response& response) {
@@ -70,24 +71,24 @@
     }
 
     void handle(const httplib::Request&, const RequestLine&, httplib::Response&);
-    void handlePage(const httplib::Request&, const RequestLine&, httplib::Response&);
+    void handleEndpoint(const httplib::Request&, const RequestLine&, httplib::Response&);
     void handleError(const httplib::Request&, httplib::Response&);
 
     const CallerSettings settings;
-    Collaborators parts;
-    ServeContext context;
+    CallerDependencies dependencies;
+    ServerContext context;
     HttpServer http;
 };
 
 void CallerServer::Impl::handle(const httplib::Request& request, const RequestLine& line, httplib::Response& response)
 {
-    if (takesRequests(line.path()))
-        std::make_shared<Serving>(context, request, line)->serve(response);
+    if (isRequestPath(line.path()))
+        std::make_shared<RequestHandler>(context, request, line)->serve(response);
     else
-        handlePage(request, line, response);
+        handleEndpoint(request, line, response);
 }
 
-void CallerServer::Impl::handlePage(
+void CallerServer::Impl::handleEndpoint(
     const httplib::Request& request, const RequestLine& line, httplib::Response& response)
 {
     std::string_view path = line.path();
@@ -124,19 +125,19 @@
         return;
     int status = response.status;
     Refusal refusal = refusalForStatus(status, settings);
-    const auto* connection = CallerConnection::ofThisThread();
-    if (connection && !connection->bodyConsumed())
+    const auto* connection = CallerConnection::forCurrentThread();
+    if (connection && !connection->isBodyConsumed())
         response.set_header("Connection", "close");
-    if (connection && takesRequests(connection->line().path()))
-        std::make_shared<Serving>(context, request, connection->line())->refuseUnread(refusal, response);
+    if (connection && isRequestPath(connection->line().path()))
+        std::make_shared<RequestHandler>(context, request, connection->line())->refuseUnread(refusal, response);
     else
         writeRefusal(refusal, "", response);
     if (status == 404)
         response.status = 404;
 }
 
-CallerServer::CallerServer(CallerSettings settings, Collaborators parts)
-    : m_impl(std::make_unique<Impl>(std::move(settings), std::move(parts)))
+CallerServer::CallerServer(CallerSettings settings, CallerDependencies dependencies)
+    : m_impl(std::make_unique<Impl>(std::move(settings), std::move(dependencies)))
 {
 }
 
@@ -155,16 +156,16 @@
     beginDrain();
     waitUntil(deadline, [this] { return inFlight() == 0; });
     m_impl->http.stopListening();
-    bool whole = waitUntil(deadline, [this] { return m_impl->http.inProgress() == 0; });
+    bool isComplete = waitUntil(deadline, [this] { return m_impl->http.inProgress() == 0; });
     m_impl->http.stopNow();
-    return whole;
+    return isComplete;
 }
 
 uint32_t CallerServer::inFlight() const { return m_impl->context.inFlight; }
 
 StoredAnswer CallerServer::storedAnswer(const std::string& lookup)
 {
-    auto found = m_impl->context.answers.find(AnswerKey::fromLookup(lookup), monotonicNow());
+    auto found = m_impl->context.answers.find(AnswerKey::fromLookupText(lookup), monotonicNow());
     if (found.state == AnswerStore::State::Running)
         found.answer.phase = StoredAnswer::Phase::Running;
     return found.answer;
--- a/src/caller/server.h
+++ b/src/caller/server.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/error.h"
-#include "caller/collaborators.h"
+#include "caller/dependencies.h"
 #include "caller/settings.h"
 
 #include <memory>
@@ -13,7 +13,7 @@
 // a request are in serve.cpp.
 class CallerServer {
 public:
-    CallerServer(CallerSettings, Collaborators);
+    CallerServer(CallerSettings, CallerDependencies);
     // Aborts requests in flight; call drain() before to let them finish.
     ~CallerServer();
 
--- a/src/caller/settings.h
+++ b/src/caller/settings.h
@@ -21,7 +21,7 @@
     Milliseconds keepAlive { 5'000 }; // How long an idle connection is kept open.
 
     Milliseconds defaultDeadline { 60'000 };
-    Milliseconds longestDeadline { 600'000 };
+    Milliseconds maxDeadline { 600'000 };
     // How long a request waits for its permit before the caller is told to retry.
     Milliseconds permitTimeout { 2'000 };
     // How long a refusal waits for the attempt to be void at owner and witness; after that the outcome is "undecided".
@@ -29,16 +29,16 @@
     Milliseconds retryAfter { 1'000 }; // Sent to callers if no better estimate exists.
 
     // An answer that is not an event stream is read up to this size before its head is sent to the caller.
-    size_t wholeAnswerBytes = 1024 * 1024;
+    size_t bufferedAnswerBytes = 1024 * 1024;
     // Limits of the answers to non-repeatable requests that are stored for resends.
     Milliseconds answerLifetime { 600'000 };
-    size_t answerBytes = 256 * 1024 * 1024;
-    size_t answerBodyBytes = 4 * 1024 * 1024; // For one answer; a larger one is not stored.
+    size_t answerStoreBytes = 256 * 1024 * 1024;
+    size_t maxStoredBodyBytes = 4 * 1024 * 1024; // For one answer; a larger one is not stored.
     // Whether a non-repeatable request runs to its end after its caller disconnected, so that a resend gets its answer.
     // If not, it is cancelled and every resend gets "may have run".
     bool finishForResend = true;
 
-    size_t explainedRequests = 4096; // Number of latest requests available in /v1/explain.
+    size_t recentRequestLimit = 4096; // Number of latest requests available in /v1/explain.
     Milliseconds entriesTimeToLive { 5'000 };
 };
 
--- a/src/caller/ssestream.cpp
+++ b/src/caller/ssestream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr size_t longestHeldBytes = 64 * 1024;
+    constexpr size_t maxBufferedBytes = 64 * 1024;
     constexpr size_t tailBytes = 64;
     constexpr std::string_view doneEvent = "data: [DONE]";
 
@@ -26,28 +26,28 @@
 
 std::string SseStream::push(std::string_view piece)
 {
-    rememberTail(piece);
-    m_held += piece;
-    size_t end = endOfLastEvent(m_held);
-    if (end == 0 && m_held.size() > longestHeldBytes) {
+    updateTail(piece);
+    m_buffered += piece;
+    size_t end = endOfLastEvent(m_buffered);
+    if (end == 0 && m_buffered.size() > maxBufferedBytes) {
         m_midEvent = true;
-        return takeRest();
+        return takeRemaining();
     }
     if (end > 0)
         m_midEvent = false;
-    std::string ready = m_held.substr(0, end);
-    m_held.erase(0, end);
+    std::string ready = m_buffered.substr(0, end);
+    m_buffered.erase(0, end);
     return ready;
 }
 
-std::string SseStream::takeRest()
+std::string SseStream::takeRemaining()
 {
-    std::string rest = std::move(m_held);
-    m_held.clear();
+    std::string rest = std::move(m_buffered);
+    m_buffered.clear();
     return rest;
 }
 
-void SseStream::rememberTail(std::string_view piece)
+void SseStream::updateTail(std::string_view piece)
 {
     m_tail += piece.substr(piece.size() - std::min(piece.size(), tailBytes));
     if (m_tail.size() > tailBytes)
--- a/src/caller/ssestream.h
+++ b/src/caller/ssestream.h
@@ -12,16 +12,16 @@
     // Adds received bytes; returns the bytes that may be sent to the caller now.
     std::string push(std::string_view piece);
     // Returns the bytes still buffered at the end of the stream.
-    std::string takeRest();
+    std::string takeRemaining();
     // Whether the last event was `data: [DONE]`.
     bool isDone() const;
     // Whether part of an event was released without its end because it exceeded the buffer's limit.
     bool isMidEvent() const { return m_midEvent; }
 
 private:
-    void rememberTail(std::string_view);
+    void updateTail(std::string_view);
 
-    std::string m_held;
+    std::string m_buffered;
     std::string m_tail; // The last bytes of the stream so far.
     bool m_midEvent = false;
 };
--- a/src/caller/stream.cpp
+++ b/src/caller/stream.cpp
@@ -1,4 +1,4 @@
-#include "caller/serving.h"
+#include "caller/requesthandler.h"
 
 #include "base/metrics.h"
 #include "policy/router.h"
@@ -7,137 +7,141 @@
 namespace Kumquatpick {
 
 // Reads one piece of the answer into m_ready, or sets m_bodyEnded at its end.
-Result<void> Serving::readPiece()
+Result<void> RequestHandler::readPiece()
 {
     auto settled = settle([&] { return m_call->next(); });
     if (auto* error = std::get_if<Error>(&settled)) {
-        if (!isWhole())
+        if (!isStreamComplete())
             return fail(std::move(*error));
         settled = std::string(); // The answer is complete after [DONE].
     }
     const std::string& piece = std::get<std::string>(settled);
     if (!piece.empty()) {
-        keep(piece);
-        m_ready += m_events ? m_events->push(piece) : piece;
+        storeForResend(piece);
+        m_unsentBody += m_eventStream ? m_eventStream->push(piece) : piece;
         return {};
     }
-    if (m_events && m_request.kind == RequestKind::Chat && !isWhole())
+    if (m_eventStream && m_request.kind == RequestKind::Chat && !isStreamComplete())
         return fail({ ErrorCode::BrokenOff, Step::Stream, m_replica.leader.toString(),
             "the stream ended without its last event" });
-    if (m_events)
-        m_ready += m_events->takeRest();
+    if (m_eventStream)
+        m_unsentBody += m_eventStream->takeRemaining();
     m_bodyEnded = true;
     return {};
 }
 
 // Whether the stream has had its last event, so that a later error of the connection loses nothing.
-bool Serving::isWhole() const { return m_events && m_request.kind == RequestKind::Chat && m_events->isDone(); }
+bool RequestHandler::isStreamComplete() const
+{
+    return m_eventStream && m_request.kind == RequestKind::Chat && m_eventStream->isDone();
+}
 
-void Serving::keep(std::string_view piece)
+void RequestHandler::storeForResend(std::string_view piece)
 {
-    if (!m_keeps)
+    if (!m_isStoringBody)
         return;
-    m_keeps = m_kept.size() + piece.size() <= m_context.settings.answerBodyBytes;
-    if (m_keeps)
-        m_kept += piece;
+    m_isStoringBody = m_storedBody.size() + piece.size() <= m_context.settings.maxStoredBodyBytes;
+    if (m_isStoringBody)
+        m_storedBody += piece;
     else
-        m_kept = {};
+        m_storedBody = {};
 }
 
-void Serving::answerWhole(httplib::Response& response)
+void RequestHandler::respondWhole(httplib::Response& response)
 {
-    std::string body = std::move(m_ready);
-    answeredWhole();
+    std::string body = std::move(m_unsentBody);
+    completeAnswer();
     setHeaders(Outcome::Answered, response);
     response.status = m_head.status;
     response.set_content(body, m_head.contentType);
 }
 
-void Serving::answerStreaming(httplib::Response& response)
+void RequestHandler::respondStreaming(httplib::Response& response)
 {
-    m_streamHop.emplace(*m_trail, threadRandom(), "stream");
+    m_streamHop.emplace(*m_trace, threadRandom(), "stream");
     m_streamHop->setPeer(m_replica.leader.toString());
     setHeaders(Outcome::Answered, response);
     response.status = m_head.status;
     response.set_chunked_content_provider(
-        m_head.contentType, [self = shared_from_this()](size_t, httplib::DataSink& sink) { return self->pump(sink); },
+        m_head.contentType,
+        [self = shared_from_this()](size_t, httplib::DataSink& sink) { return self->sendNextPiece(sink); },
         [self = shared_from_this()](bool) {
-            if (!self->m_ended)
-                self->callerLeft();
+            if (!self->m_isFinished)
+                self->handleDisconnect();
         });
 }
 
 // Called repeatedly until it ends the stream or returns false, which closes the connection.
-bool Serving::pump(httplib::DataSink& sink)
+bool RequestHandler::sendNextPiece(httplib::DataSink& sink)
 {
-    if (!m_ready.empty())
-        return passOn(sink);
+    if (!m_unsentBody.empty())
+        return sendUnsent(sink);
     if (m_bodyEnded) {
-        answeredWhole();
+        completeAnswer();
         sink.done();
         return true;
     }
     auto settled = settle([&] { return readPiece(); });
     if (auto* error = std::get_if<Error>(&settled))
-        return breakStream(sink, *error);
+        return endBrokenStream(sink, *error);
     return true;
 }
 
-bool Serving::passOn(httplib::DataSink& sink)
+bool RequestHandler::sendUnsent(httplib::DataSink& sink)
 {
-    std::string piece = std::move(m_ready);
-    m_ready.clear();
-    if (!m_connection->callerGone() && sink.write(piece.data(), piece.size()))
+    std::string piece = std::move(m_unsentBody);
+    m_unsentBody.clear();
+    if (!m_connection->isCallerGone() && sink.write(piece.data(), piece.size()))
         return true;
-    callerLeft();
+    handleDisconnect();
     return false;
 }
 
 // Ends an event stream with an error event. Any other body ends without its last chunk, so that the caller can detect
 // that it is truncated.
-bool Serving::breakStream(httplib::DataSink& sink, const Error& error)
+bool RequestHandler::endBrokenStream(httplib::DataSink& sink, const Error& error)
 {
     Refusal refused = dispatchRefusal(error);
-    noteFailure(error);
-    lost(refused);
-    if (!m_events)
+    recordBackendFailure(error);
+    recordRefusal(refused);
+    if (!m_eventStream)
         return false;
-    std::string event = m_events->isMidEvent() ? "\n\n" : "";
-    event += "event: error\ndata: " + refusalBody(refused, m_trail->requestId()) + "\n\n";
+    std::string event = m_eventStream->isMidEvent() ? "\n\n" : "";
+    event += "event: error\ndata: " + refusalBody(refused, m_trace->requestId()) + "\n\n";
     if (!sink.write(event.data(), event.size()))
         return false;
     sink.done();
     return true;
 }
 
-bool Serving::runsOnForResend() const { return m_keeps && m_context.settings.finishForResend; }
+bool RequestHandler::finishesForResend() const { return m_isStoringBody && m_context.settings.finishForResend; }
 
 // A repeatable request is cancelled at the engine, as its answer is no longer needed. A non-repeatable request can't
 // run a second time, so its answer is read to the end and stored for a resend.
-void Serving::callerLeft()
+void RequestHandler::handleDisconnect()
 {
-    m_trail->describe("caller", "disconnected");
-    if (m_call && runsOnForResend() && readRestForResend())
-        return answeredWhole();
+    m_trace->addField("caller", "disconnected");
+    if (m_call && finishesForResend() && readRestForResend())
+        return completeAnswer();
     if (!m_replica.replica.empty()) {
         m_call.reset();
         MonotonicTime now = monotonicNow();
-        m_parts.suspicion.withdrawn(m_poisonFingerprint, m_replica.replica);
-        m_parts.router.ended(m_request.service, m_replica.replica, DispatchEnd::CallerGone, now);
+        m_dependencies.suspicion.withdrawn(m_poisonFingerprint, m_replica.replica);
+        m_dependencies.router.ended(m_request.service, m_replica.replica, DispatchEnd::CallerGone, now);
         m_replica = {};
     }
     finish("caller-gone", {}, false);
 }
 
-bool Serving::readRestForResend()
+bool RequestHandler::readRestForResend()
 {
-    while (!m_bodyEnded && m_keeps) {
-        m_ready.clear();
+    while (!m_bodyEnded && m_isStoringBody) {
+        m_unsentBody.clear();
         auto settled = settle([&] { return readPiece(); });
         if (settled.index() != 0)
             return false;
     }
-    return m_keeps;
+    return m_isStoringBody;
 }
 
 } // namespace Kumquatpick
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -60,7 +60,7 @@
         result.bodyLimitBytes = settings.maxBodyBytes;
         result.requestReadTimeout = settings.readTimeout;
         result.answerLifetime = settings.answerRetention;
-        result.answerBytes = settings.answerBytes;
+        result.answerStoreBytes = settings.answerBytes;
         return result;
     }
 
@@ -352,10 +352,10 @@
         controller.holdsLease(), nodes, directory, monotonicNow() });
 }
 
-Collaborators Daemon::Parts::collaborators()
+CallerDependencies Daemon::Parts::collaborators()
 {
-    Collaborators result { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {}, {},
-        {}, {}, {}, {}, {}, {}, {} };
+    CallerDependencies result { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
+        {}, {}, {}, {}, {}, {}, {}, {} };
     result.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
     result.permit = [this](const RequestKey& key, ArrivalId arrival, MonotonicTime deadline) {
         return slots.permit(key, arrival, deadline);
@@ -368,7 +368,7 @@
         return transport->fetchAnswer(node.peerAddress, lookup, answerFetchTimeout);
     };
     result.text = [this] { return config.text(); };
-    result.ready = [this] { return config.version() > 0; };
+    result.isReady = [this] { return config.version() > 0; };
     result.entryNodes = [this] { return entryNodes(); };
     result.acceptedText = [this] { return config.accepted(); };
     result.publish = [this](const PublishRequest& request) { return publish(request); };
--- a/src/daemon/parts.h
+++ b/src/daemon/parts.h
@@ -61,7 +61,7 @@
     void publishClaims();
     void publishSlots(std::span<const uint32_t> changed);
 
-    Collaborators collaborators();
+    CallerDependencies collaborators();
     std::vector<EntryNode> entryNodes() const;
     PublishOutcome publish(const PublishRequest&);
     nlohmann::json status() const;
--- a/src/daemon/publisher.h
+++ b/src/daemon/publisher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "caller/collaborators.h"
+#include "caller/dependencies.h"
 
 namespace Kumquatpick {
 
--- a/tests/caller/entries_test.cpp
+++ b/tests/caller/entries_test.cpp
@@ -10,7 +10,7 @@
 
     rc::Gen<std::string> zone() { return rc::gen::element<std::string>("salt-lake", "howrah", "siliguri"); }
 
-    std::vector<EntryNode> someNodes()
+    std::vector<EntryNode> randomNodes()
     {
         auto count = *rc::gen::inRange<uint16_t>(0, 12);
         std::vector<EntryNode> nodes;
@@ -24,32 +24,32 @@
 
 }
 
-RC_GTEST_PROP(Entries, NameEachLiveNodeOnceNearestFirst, (const std::string& caller))
+RC_GTEST_PROP(Entries, ListEachLiveNodeOnceOwnZoneFirst, (const std::string& caller))
 {
-    auto nodes = someNodes();
-    auto own = *zone();
-    auto choices = chooseEntries(nodes, own, caller);
-    std::map<uint16_t, const EntryNode*> open; // By port, which is unique.
+    auto nodes = randomNodes();
+    auto ownZone = *zone();
+    auto choices = chooseEntries(nodes, ownZone, caller);
+    std::map<uint16_t, const EntryNode*> expectedNodes; // By port, which is unique.
     for (const auto& node : nodes) {
         if (!node.stopping)
-            open[node.address.port] = &node;
+            expectedNodes[node.address.port] = &node;
     }
-    RC_ASSERT(choices.size() == open.size());
+    RC_ASSERT(choices.size() == expectedNodes.size());
     bool leftOwnZone = false;
     for (const auto& choice : choices) {
-        RC_ASSERT(open.erase(choice.address.port) == 1U);
+        RC_ASSERT(expectedNodes.erase(choice.address.port) == 1U);
         RC_ASSERT(choice.weight > 0 && choice.weight <= 1);
-        leftOwnZone |= choice.zone != own;
-        RC_ASSERT(!(leftOwnZone && choice.zone == own));
+        leftOwnZone |= choice.zone != ownZone;
+        RC_ASSERT(!(leftOwnZone && choice.zone == ownZone));
     }
-    auto again = chooseEntries(nodes, own, caller);
+    auto again = chooseEntries(nodes, ownZone, caller);
     RC_ASSERT(std::ranges::equal(choices, again, {}, &EntryChoice::address, &EntryChoice::address));
 }
 
 // Stopping a node must not change the order of the others, so that only the callers that had it first move.
 RC_GTEST_PROP(Entries, OthersKeepTheirOrderWhenANodeStops, (const std::string& caller))
 {
-    auto nodes = someNodes();
+    auto nodes = randomNodes();
     for (auto& node : nodes) {
         node.zone = "howrah";
         node.streams = 0;
--- a/tests/caller/fakebackend.h
+++ b/tests/caller/fakebackend.h
@@ -62,19 +62,19 @@
 
     uint16_t port() const { return static_cast<uint16_t>(m_port); }
 
-    void behave(Behaviour behaviour)
+    void setBehaviour(Behaviour behaviour)
     {
         std::lock_guard lock(m_mutex);
         m_behaviour = std::move(behaviour);
     }
 
-    size_t runs() const
+    size_t requestCount() const
     {
         std::lock_guard lock(m_mutex);
         return m_requests.size();
     }
 
-    void waitForRuns(size_t count)
+    void waitForRequests(size_t count)
     {
         std::unique_lock lock(m_mutex);
         m_changed.wait(lock, [&] { return m_requests.size() >= count; });
@@ -183,7 +183,7 @@
 }
 
 // Sends a complete head with a Content-Length, then fewer bytes than that.
-inline FakeBackend::Behaviour cutAnswer(size_t promised, const std::string& sent)
+inline FakeBackend::Behaviour truncatedAnswer(size_t promised, const std::string& sent)
 {
     return [=](const httplib::Request&, httplib::Response& response) {
         response.set_content_provider(promised, "application/json", [=](size_t, size_t, httplib::DataSink& sink) {
--- a/tests/caller/hostile_test.cpp
+++ b/tests/caller/hostile_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-    std::string converse(const TestNode& node, std::string_view text)
+    std::string sendAndReceive(const TestNode& node, std::string_view text)
     {
         RawCaller caller(node.server->address().port);
         caller.send(text);
@@ -37,7 +37,7 @@
 TEST(Hostile, BrokenFramingIsRefusedOnceAndTyped)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.settings.bodyLimitBytes = 10'000;
     node.settings.headerLimitBytes = 4'000;
@@ -65,19 +65,19 @@
         post("", ""),
     };
     for (const auto& request : requests) {
-        std::string answer = converse(node, request);
+        std::string answer = sendAndReceive(node, request);
         std::string shown = request.substr(0, 120);
         EXPECT_EQ(count(answer, "HTTP/1.1 4"), 1U) << shown << "\n" << answer;
         EXPECT_EQ(count(answer, "\"outcome\":\"not-run\""), 1U) << shown << "\n" << answer;
     }
-    EXPECT_EQ(engine.runs(), 0U);
-    EXPECT_EQ(ending(node.chat(TestNode::headers())), "answered");
+    EXPECT_EQ(engine.requestCount(), 0U);
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers())), "answered");
 }
 
 TEST(Hostile, RangesAndEncodingsNeverCutOrChangeAnAnswer)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{\"whole\":\"answer\"}"));
+    engine.setBehaviour(plainAnswer("{\"whole\":\"answer\"}"));
     TestNode node;
     node.start({ &engine });
     std::string body = TestNode::chatBody;
@@ -90,22 +90,23 @@
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
 }
 
-TEST(Hostile, ABodyThatWasNotReadIsNoSecondRequest)
+TEST(Hostile, UnreadBodyIsNotParsedAsRequest)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.settings.bodyLimitBytes = 1'000;
     node.start({ &engine });
     std::string inner
         = post("Content-Length: " + std::to_string(strlen(TestNode::chatBody)) + "\r\n", TestNode::chatBody);
     std::string filled = inner + std::string(5'000, ' ');
-    std::string answer = converse(node, post("Content-Length: " + std::to_string(filled.size()) + "\r\n", filled));
+    std::string answer
+        = sendAndReceive(node, post("Content-Length: " + std::to_string(filled.size()) + "\r\n", filled));
     EXPECT_EQ(count(answer, "HTTP/1.1 "), 1U) << answer;
-    answer = converse(
+    answer = sendAndReceive(
         node, "GET /healthz HTTP/1.1\r\nContent-Length: " + std::to_string(inner.size()) + "\r\n\r\n" + inner);
     EXPECT_EQ(count(answer, "HTTP/1.1 "), 1U) << answer;
-    EXPECT_EQ(engine.runs(), 0U);
+    EXPECT_EQ(engine.requestCount(), 0U);
 }
 
 TEST(Hostile, PipelinedRequestsAreEachAnswered)
@@ -116,14 +117,14 @@
     std::string three;
     for (int i = 0; i < 3; ++i)
         three += "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    EXPECT_EQ(count(converse(node, three), "HTTP/1.1 200"), 3U);
+    EXPECT_EQ(count(sendAndReceive(node, three), "HTTP/1.1 200"), 3U);
 }
 
 // A request that arrives too slowly is refused after the read timeout, and idle connections occupy no threads.
-TEST(Hostile, SlowSendersAndIdleConnectionsHoldNobodyUp)
+TEST(Hostile, SlowAndIdleConnectionsDoNotBlockOthers)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.settings.threads = 4;
     node.settings.requestReadTimeout = Milliseconds(100);
@@ -132,27 +133,27 @@
     idle.reserve(100);
     for (int i = 0; i < 100; ++i)
         idle.push_back(std::make_unique<RawCaller>(node.server->address().port));
-    EXPECT_EQ(ending(node.chat(TestNode::headers())), "answered");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers())), "answered");
     RawCaller slow(node.server->address().port);
     slow.send("POST /v1/chat/completions HTTP/1.1\r\nKumquatpick-Te");
     EXPECT_EQ(count(slow.readAll(), "\"type\":\"malformed\""), 1U);
 }
 
-TEST(Hostile, BusyNodeAnswersAtOnceThatNothingIsPromised)
+TEST(Hostile, BusyNodeRefusesAtOnceAsUndecided)
 {
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave(events({ "data: 1\n\n" }, StreamEnd::Done, gate));
+    engine.setBehaviour(events({ "data: 1\n\n" }, StreamEnd::Done, gate));
     TestNode node;
     node.settings.threads = 2;
     node.start({ &engine });
     std::vector<std::thread> callers;
     callers.reserve(2);
     for (int i = 0; i < 2; ++i)
-        callers.emplace_back([&] { EXPECT_EQ(ending(node.chat(TestNode::headers())), "answered"); });
-    engine.waitForRuns(2);
+        callers.emplace_back([&] { EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers())), "answered"); });
+    engine.waitForRequests(2);
     auto refused = node.chat(TestNode::headers("key"));
-    EXPECT_EQ(ending(refused), "undecided/queue_full");
+    EXPECT_EQ(outcomeAndType(refused), "undecided/queue_full");
     EXPECT_TRUE(refused->has_header("Retry-After"));
     EXPECT_EQ(node.journal->voidedUpTo("key"), 0U);
     gate->open();
@@ -161,12 +162,12 @@
 }
 
 // Four callers at a time send 1,000 random requests each. The server must stay usable.
-TEST(Hostile, SeededGarbageIsSurvived)
+TEST(Hostile, RandomInputDoesNotBreakServer)
 {
     constexpr int callers = 4;
     constexpr int requestsEach = 1'000;
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.settings.requestReadTimeout = Milliseconds(2'000);
     node.settings.bodyLimitBytes = 100'000;
@@ -177,8 +178,8 @@
         threads.emplace_back([&, caller] {
             Random random(static_cast<uint64_t>(caller));
             for (int i = 0; i < requestsEach; ++i) {
-                std::string text = garbageRequest(random);
-                std::string answer = converse(node, text);
+                std::string text = randomRequest(random);
+                std::string answer = sendAndReceive(node, text);
                 // Every response must be an HTTP response.
                 EXPECT_TRUE(answer.empty() || answer.starts_with("HTTP/1.1 ")) << text << "\n" << answer;
             }
@@ -187,7 +188,7 @@
     for (auto& thread : threads)
         thread.join();
     EXPECT_EQ(node.server->inFlight(), 0U);
-    EXPECT_EQ(ending(node.chat(TestNode::headers())), "answered");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers())), "answered");
 }
 
 } // namespace Kumquatpick
--- a/tests/caller/outcome_test.cpp
+++ b/tests/caller/outcome_test.cpp
@@ -46,7 +46,7 @@
 TEST(Outcome, ResendHereGetsTheSameAnswer)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{\"place\":3}", 201));
+    engine.setBehaviour(plainAnswer("{\"place\":3}", 201));
     TestNode node;
     node.start({ &engine });
     auto first = node.chat(TestNode::headers("key"));
@@ -55,7 +55,7 @@
     EXPECT_EQ(again->status, 201);
     EXPECT_EQ(again->body, first->body);
     EXPECT_EQ(again->get_header_value("Content-Type"), "application/json");
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(engine.requestCount(), 1U);
     auto known = node.client()->Get("/v1/requests/key", { { "Kumquatpick-Team", "board" } });
     EXPECT_EQ(nlohmann::json::parse(known->body).at("answer").at("body"), "{\"place\":3}");
 }
@@ -63,31 +63,31 @@
 TEST(Outcome, KeyOfAnotherRequestNeverGetsItsAnswer)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("secret"));
+    engine.setBehaviour(plainAnswer("secret"));
     TestNode node;
     node.start({ &engine });
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "answered");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "answered");
     auto otherBody = node.chat(TestNode::headers("key"), R"({"model":"writers","messages":[]})");
-    EXPECT_EQ(ending(otherBody), "may-have-run/held_elsewhere");
+    EXPECT_EQ(outcomeAndType(otherBody), "may-have-run/held_elsewhere");
     auto headers = TestNode::headers("key");
     headers.erase("Kumquatpick-Team");
     headers.emplace("Kumquatpick-Team", "families");
-    EXPECT_EQ(ending(node.chat(headers)), "may-have-run/held_elsewhere");
+    EXPECT_EQ(outcomeAndType(node.chat(headers)), "may-have-run/held_elsewhere");
     auto known = node.client()->Get("/v1/requests/key", { { "Kumquatpick-Team", "families" } });
     EXPECT_EQ(known->status, 404);
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(engine.requestCount(), 1U);
 }
 
 TEST(Outcome, ResendElsewhereFetchesTheAnswer)
 {
     TwoNodes nodes;
     auto gate = std::make_shared<Gate>();
-    nodes.engine.behave(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
+    nodes.engine.setBehaviour(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
     httplib::Result first(nullptr, httplib::Error::Unknown);
     std::thread caller([&] { first = nodes.first.chat(TestNode::headers("key")); });
-    nodes.engine.waitForRuns(1);
+    nodes.engine.waitForRequests(1);
     auto running = nodes.second.chat(TestNode::headers("key"));
-    EXPECT_EQ(ending(running), "undecided/held_elsewhere");
+    EXPECT_EQ(outcomeAndType(running), "undecided/held_elsewhere");
     EXPECT_TRUE(running->has_header("Retry-After"));
     gate->open();
     caller.join();
@@ -97,12 +97,12 @@
     EXPECT_EQ(fetched->get_header_value("Content-Type"), "text/event-stream");
     // The node that stores the answer is unreachable, so the request may have run.
     nodes.second.peers.clear();
-    EXPECT_EQ(ending(nodes.second.chat(TestNode::headers("key"))), "may-have-run/held_elsewhere");
-    EXPECT_EQ(nodes.engine.runs(), 1U);
+    EXPECT_EQ(outcomeAndType(nodes.second.chat(TestNode::headers("key"))), "may-have-run/held_elsewhere");
+    EXPECT_EQ(nodes.engine.requestCount(), 1U);
 }
 
 // Each step before dispatch can refuse a request. The outcome may be "not run" only after the attempt was voided.
-TEST(Outcome, NotRunIsSaidOnlyOnceTheAttemptIsVoid)
+TEST(Outcome, NotRunOnlyAfterAttemptIsVoid)
 {
     struct Case {
         const char* step;
@@ -125,7 +125,7 @@
     };
     for (const Case& each : cases) {
         FakeBackend engine;
-        engine.behave(plainAnswer("{}"));
+        engine.setBehaviour(plainAnswer("{}"));
         TestNode node;
         node.start({ &engine });
         // Each answer of the journal is tested with its own key.
@@ -137,24 +137,24 @@
 
         node.journal->voidAnswer = PermitAnswer::Undecided;
         auto undecided = send("a");
-        EXPECT_EQ(ending(undecided), std::string("undecided/") + each.type) << each.step;
+        EXPECT_EQ(outcomeAndType(undecided), std::string("undecided/") + each.type) << each.step;
         EXPECT_TRUE(undecided->has_header("Retry-After")) << each.step;
         EXPECT_FALSE(errorOf(undecided->body).contains("next_attempt")) << each.step;
 
         node.journal->voidAnswer = PermitAnswer::Expired;
-        EXPECT_EQ(ending(send("b")), "may-have-run/key_expired") << each.step;
+        EXPECT_EQ(outcomeAndType(send("b")), "may-have-run/key_expired") << each.step;
 
         node.journal->voidAnswer.reset();
-        EXPECT_EQ(ending(send("c")), std::string("not-run/") + each.type) << each.step;
+        EXPECT_EQ(outcomeAndType(send("c")), std::string("not-run/") + each.type) << each.step;
         EXPECT_EQ(node.journal->voidedUpTo("c"), 1U) << each.step;
-        EXPECT_EQ(engine.runs(), 0U) << each.step;
+        EXPECT_EQ(engine.requestCount(), 0U) << each.step;
     }
 }
 
 TEST(Outcome, NextAttemptRunsAfterTheRefusedOne)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.start({ &engine });
     node.isReady = false;
@@ -162,13 +162,13 @@
     EXPECT_EQ(errorOf(refused->body).at("next_attempt"), 2);
     node.isReady = true;
     auto same = node.chat(TestNode::headers("key", 1));
-    EXPECT_EQ(ending(same), "not-run/voided");
+    EXPECT_EQ(outcomeAndType(same), "not-run/voided");
     EXPECT_EQ(errorOf(same->body).at("next_attempt"), 2);
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key", 2))), "answered");
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key", 2))), "answered");
+    EXPECT_EQ(engine.requestCount(), 1U);
 }
 
-TEST(Outcome, EachPermitAnswerHasItsOwnEnd)
+TEST(Outcome, EachPermitAnswerHasItsOutcome)
 {
     const std::array<std::pair<PermitAnswer, const char*>, 3> cases { {
         { PermitAnswer::Expired, "may-have-run/key_expired" },
@@ -180,67 +180,67 @@
         TestNode node;
         node.start({ &engine });
         node.journal->permitAnswer = answer;
-        EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), expected);
-        EXPECT_EQ(engine.runs(), 0U);
+        EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), expected);
+        EXPECT_EQ(engine.requestCount(), 0U);
     }
 }
 
-TEST(Outcome, LostGrantIsTakenBackWhenTheCallerAsksAgain)
+TEST(Outcome, LostGrantIsRevokedOnResend)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.start({ &engine });
     node.journal->loseGrants = true;
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "undecided/undecided");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "undecided/undecided");
     node.journal->loseGrants = false;
     auto again = node.chat(TestNode::headers("key"));
-    EXPECT_EQ(ending(again), "not-run/voided");
+    EXPECT_EQ(outcomeAndType(again), "not-run/voided");
     EXPECT_EQ(errorOf(again->body).at("next_attempt"), 2);
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key", 2))), "answered");
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key", 2))), "answered");
+    EXPECT_EQ(engine.requestCount(), 1U);
 }
 
 TEST(Outcome, AnswerNoLongerKeptIsNeverRunAgain)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     TestNode node;
     node.settings.answerLifetime = Milliseconds(0);
     node.start({ &engine });
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "answered");
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "may-have-run/held_elsewhere");
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key", 2))), "may-have-run/held_elsewhere");
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "answered");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "may-have-run/held_elsewhere");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key", 2))), "may-have-run/held_elsewhere");
+    EXPECT_EQ(engine.requestCount(), 1U);
 }
 
 TEST(Outcome, UnsentRequestGoesToAnotherReplica)
 {
     FakeBackend dead;
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     for (const char* key : { "", "key" }) {
         TestNode node;
         node.start({ &dead, &engine });
         dead.stop();
-        EXPECT_EQ(ending(node.chat(TestNode::headers(key))), "answered") << key;
+        EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers(key))), "answered") << key;
     }
-    EXPECT_EQ(engine.runs(), 2U);
+    EXPECT_EQ(engine.requestCount(), 2U);
 }
 
-TEST(Outcome, EngineThatSaysNotRunIsPassedOver)
+TEST(Outcome, EngineThatRefusesIsSkipped)
 {
     for (int status : { 409, 503 }) {
         FakeBackend full;
         FakeBackend engine;
-        full.behave(plainAnswer("{}", status));
-        engine.behave(plainAnswer("{}"));
+        full.setBehaviour(plainAnswer("{}", status));
+        engine.setBehaviour(plainAnswer("{}"));
         TestNode node;
         node.start({ &full, &engine });
-        EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "answered");
-        engine.behave(plainAnswer("{}", status));
+        EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "answered");
+        engine.setBehaviour(plainAnswer("{}", status));
         auto refused = node.chat(TestNode::headers("other"));
-        EXPECT_EQ(ending(refused), "not-run/backend_refused");
+        EXPECT_EQ(outcomeAndType(refused), "not-run/backend_refused");
         EXPECT_EQ(node.journal->voidedUpTo("other"), 1U);
         EXPECT_EQ(errorOf(refused->body).at("next_attempt"), 2);
     }
@@ -258,58 +258,58 @@
     };
     FakeBackend one;
     FakeBackend two;
-    one.behave(cutOnce);
-    two.behave(cutOnce);
+    one.setBehaviour(cutOnce);
+    two.setBehaviour(cutOnce);
     TestNode node;
     node.start({ &one, &two });
-    EXPECT_EQ(ending(node.chat(TestNode::headers())), "answered");
-    EXPECT_EQ(one.runs() + two.runs(), 2U);
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers())), "answered");
+    EXPECT_EQ(one.requestCount() + two.requestCount(), 2U);
     *cut = true;
-    node.hostsReady(2);
+    node.reportHostsReady(2);
     auto lost = node.chat(TestNode::headers("key"));
-    EXPECT_EQ(ending(lost), "may-have-run/backend_lost");
+    EXPECT_EQ(outcomeAndType(lost), "may-have-run/backend_lost");
     EXPECT_EQ(errorOf(lost->body).at("peer").get<std::string>().empty(), false);
-    EXPECT_EQ(one.runs() + two.runs(), 3U);
+    EXPECT_EQ(one.requestCount() + two.requestCount(), 3U);
 }
 
-TEST(Outcome, PlainServicesStatusIsItsOwn)
+TEST(Outcome, PlainServiceStatusIsForwarded)
 {
     FakeBackend service;
     TestNode node;
     node.start({ &service });
     for (int status : { 409, 503, 404 }) {
-        service.behave(plainAnswer("{\"its\":\"own\"}", status));
+        service.setBehaviour(plainAnswer("{\"its\":\"own\"}", status));
         auto result = node.client()->Post(
             "/v1/services/desk/x", TestNode::headers("key" + std::to_string(status)), "x", "text/plain");
-        EXPECT_EQ(ending(result), "answered");
+        EXPECT_EQ(outcomeAndType(result), "answered");
         EXPECT_EQ(result->status, status);
         EXPECT_EQ(result->body, "{\"its\":\"own\"}");
     }
 }
 
-TEST(Outcome, RequestThatKillsItsServersIsStopped)
+TEST(Outcome, RequestThatKillsItsServersIsRefused)
 {
     FakeBackend engine;
-    engine.behave(events({}, StreamEnd::Cut));
+    engine.setBehaviour(events({}, StreamEnd::Cut));
     TestNode node;
     node.start({ &engine });
     for (size_t death = 1; death <= 3; ++death) {
         auto result = node.chat(TestNode::headers("key" + std::to_string(death)));
-        EXPECT_EQ(ending(result), "may-have-run/backend_lost");
-        EXPECT_EQ(engine.runs(), death);
-        node.hostsReady(1);
+        EXPECT_EQ(outcomeAndType(result), "may-have-run/backend_lost");
+        EXPECT_EQ(engine.requestCount(), death);
+        node.reportHostsReady(1);
     }
     auto stopped = node.chat(TestNode::headers("key4"));
-    EXPECT_EQ(ending(stopped), "not-run/poison");
+    EXPECT_EQ(outcomeAndType(stopped), "not-run/poison");
     EXPECT_EQ(node.journal->voidedUpTo("key4"), 1U);
-    EXPECT_EQ(engine.runs(), 3U);
+    EXPECT_EQ(engine.requestCount(), 3U);
 }
 
-TEST(Outcome, ExplainTellsTheStepsAndTracesTheirHops)
+TEST(Outcome, ExplainListsStepsAndTracesHops)
 {
     FakeBackend engine;
     std::string upstreamTrace;
-    engine.behave([&](const httplib::Request& request, httplib::Response& response) {
+    engine.setBehaviour([&](const httplib::Request& request, httplib::Response& response) {
         upstreamTrace = request.get_header_value("traceparent");
         response.set_content("{}", "application/json");
     });
@@ -335,7 +335,7 @@
     EXPECT_NE(node.client()->Get("/metrics")->body.find("requests_total{outcome=\"answered\""), std::string::npos);
 }
 
-TEST(Pages, OperatorsAndCallersPages)
+TEST(Endpoints, ForOperatorsAndCallers)
 {
     FakeBackend engine;
     TestNode node;
--- a/tests/caller/rawcaller.h
+++ b/tests/caller/rawcaller.h
@@ -47,7 +47,7 @@
 };
 
 // A random sequence of parts of valid and invalid requests and of random bytes.
-inline std::string garbageRequest(Random& random)
+inline std::string randomRequest(Random& random)
 {
     static const std::vector<std::string> parts { "GET ", "POST ", "PUT ", "/v1/chat/completions", "/v1/services/desk/",
         "/v1/requests/", "/v1/explain/", "/v1/entries?zone=", "/v1/config", "/v1/keys", " HTTP/1.1\r\n", "\r\n",
--- a/tests/caller/request_test.cpp
+++ b/tests/caller/request_test.cpp
@@ -118,11 +118,11 @@
     ASSERT_TRUE(body);
     EXPECT_TRUE(body->stream);
     EXPECT_EQ(body->prompt, longText + "\nb");
-    EXPECT_EQ(promptPrefixes(body->prompt),
+    EXPECT_EQ(promptPrefixHashes(body->prompt),
         (std::vector<uint64_t> { hash64(longText.substr(0, 256)), hash64(longText.substr(0, 512)) }));
 }
 
-TEST(Request, DeepNestingIsRefusedNotFollowed)
+TEST(Request, DeepNestingIsRefused)
 {
     std::string deep = R"({"model":"m","x":)" + std::string(1'000'000, '[');
     EXPECT_FALSE(parseChatBody(deep));
@@ -130,7 +130,7 @@
 }
 
 // Any input is either refused or parsed to a request with valid parts.
-RC_GTEST_PROP(Request, IsValidOrRefusedOnce, ())
+RC_GTEST_PROP(Request, IsValidOrRefused, ())
 {
     auto names = rc::gen::element<std::string>("Kumquatpick-Team", "Idempotency-Key", "Kumquatpick-Issued",
         "Kumquatpick-Attempt", "Kumquatpick-Deadline-Ms", "Kumquatpick-Priority", "Kumquatpick-Repeatable",
@@ -178,11 +178,11 @@
         RC_ASSERT(passed.empty() || passed.ends_with("\n\n") || passed.ends_with("\r\n\r\n"));
         RC_ASSERT(all.starts_with(passed));
     }
-    RC_ASSERT(passed + stream.takeRest() == all);
+    RC_ASSERT(passed + stream.takeRemaining() == all);
     RC_ASSERT(stream.isDone() == done);
 }
 
-TEST(SseStream, DoneInsideOfAnAnswerIsNoEnd)
+TEST(SseStream, DoneInsideEventIsNotTheEnd)
 {
     SseStream stream;
     stream.push("data: {\"text\":\"data: [DONE]\"}\n\n");
--- a/tests/caller/slots_test.cpp
+++ b/tests/caller/slots_test.cpp
@@ -30,14 +30,14 @@
                 now += Milliseconds(500);
                 for (auto& service : m_services)
                     service->tick(now, wallNow(), m_infos, {});
-                fold();
+                applyProposals();
             }
         }
 
         SlotService& operator[](size_t index) { return *m_services[index]; }
         const NodeInfo& info(size_t index) const { return m_infos[index]; }
         // All messages to or from this service are dropped from now on.
-        void cutOff(size_t index) { m_isCut[index] = true; }
+        void isolate(size_t index) { m_isIsolated[index] = true; }
 
     private:
         static SlotService::Settings settings()
@@ -49,7 +49,7 @@
 
         void send(const NodeInfo& to, const SlotMessage& message)
         {
-            if (m_isCut[0] || m_isCut[1])
+            if (m_isIsolated[0] || m_isIsolated[1])
                 return;
             m_services[to.id.incarnation - 1]->deliver(message);
         }
@@ -63,7 +63,7 @@
             return true;
         }
 
-        void fold()
+        void applyProposals()
         {
             auto proposals = std::move(m_proposals);
             m_proposals.clear();
@@ -76,7 +76,7 @@
 
         std::vector<NodeInfo> m_infos;
         std::array<std::unique_ptr<SlotService>, 2> m_services;
-        std::array<std::atomic<bool>, 2> m_isCut {};
+        std::array<std::atomic<bool>, 2> m_isIsolated {};
         std::vector<SlotsProposal> m_proposals;
         SlotTable m_table;
     };
@@ -103,7 +103,7 @@
 TEST(Slots, OneKeyAtTwoNodesAtOnceRunsOnce)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{\"appeal\":\"answered\"}"));
+    engine.setBehaviour(plainAnswer("{\"appeal\":\"answered\"}"));
     SlotPair pair;
     SlotNode first(pair, 0, engine);
     SlotNode second(pair, 1, engine);
@@ -118,45 +118,45 @@
         for (TestNode* node : { static_cast<TestNode*>(&first), static_cast<TestNode*>(&second) }) {
             callers.emplace_back([&, node] {
                 httplib::Result result = node->chat(TestNode::headers(key));
-                while (ending(result).starts_with("undecided/"))
+                while (outcomeAndType(result).starts_with("undecided/"))
                     result = node->chat(TestNode::headers(key));
                 std::lock_guard lock(mutex);
-                bodies.insert(ending(result) + " " + result->body);
+                bodies.insert(outcomeAndType(result) + " " + result->body);
             });
         }
         for (auto& caller : callers)
             caller.join();
         EXPECT_EQ(bodies, (std::set<std::string> { "answered {\"appeal\":\"answered\"}" }));
-        EXPECT_EQ(engine.runs(), i + 1);
+        EXPECT_EQ(engine.requestCount(), i + 1);
     }
 }
 
-TEST(Slots, RefusedHereNeverRunsThere)
+TEST(Slots, AttemptRefusedAtOneNodeNeverRunsAtAnother)
 {
     FakeBackend engine;
-    engine.behave(plainAnswer("{}"));
+    engine.setBehaviour(plainAnswer("{}"));
     SlotPair pair;
     SlotNode first(pair, 0, engine);
     SlotNode second(pair, 1, engine);
     first.isReady = false;
-    EXPECT_EQ(ending(first.chat(TestNode::headers("key"))), "not-run/not_ready");
+    EXPECT_EQ(outcomeAndType(first.chat(TestNode::headers("key"))), "not-run/not_ready");
     auto late = second.chat(TestNode::headers("key"));
-    EXPECT_EQ(ending(late), "not-run/voided");
+    EXPECT_EQ(outcomeAndType(late), "not-run/voided");
     EXPECT_EQ(errorOf(late->body).at("next_attempt"), 2);
-    EXPECT_EQ(engine.runs(), 0U);
-    EXPECT_EQ(ending(second.chat(TestNode::headers("key", 2))), "answered");
+    EXPECT_EQ(engine.requestCount(), 0U);
+    EXPECT_EQ(outcomeAndType(second.chat(TestNode::headers("key", 2))), "answered");
 }
 
-TEST(Slots, CutOffNodePromisesNothing)
+TEST(Slots, IsolatedNodeReportsUndecided)
 {
     FakeBackend engine;
     SlotPair pair;
     SlotNode first(pair, 0, engine);
-    pair.cutOff(1);
-    EXPECT_EQ(ending(first.chat(TestNode::headers("key"))), "undecided/undecided");
+    pair.isolate(1);
+    EXPECT_EQ(outcomeAndType(first.chat(TestNode::headers("key"))), "undecided/undecided");
     first.isReady = false;
-    EXPECT_EQ(ending(first.chat(TestNode::headers("other"))), "undecided/not_ready");
-    EXPECT_EQ(engine.runs(), 0U);
+    EXPECT_EQ(outcomeAndType(first.chat(TestNode::headers("other"))), "undecided/not_ready");
+    EXPECT_EQ(engine.requestCount(), 0U);
 }
 
 } // namespace Kumquatpick
--- a/tests/caller/stream_test.cpp
+++ b/tests/caller/stream_test.cpp
@@ -40,7 +40,7 @@
         bytes += static_cast<char>(value);
     std::vector<std::string> pieces { "data: {\"a\"", ":1}\n", "\ndata: " + bytes + "\r\n\r\n",
         "data: " + std::string(300'000, 'x') + "\n\n" };
-    engine.behave(events(pieces, StreamEnd::Done));
+    engine.setBehaviour(events(pieces, StreamEnd::Done));
     TestNode node;
     node.start({ &engine });
     auto result = node.chat(TestNode::headers());
@@ -55,7 +55,7 @@
 {
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
+    engine.setBehaviour(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
     TestNode node;
     node.start({ &engine });
     std::string seen;
@@ -75,7 +75,7 @@
     constexpr size_t streams = 200;
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
+    engine.setBehaviour(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
     TestNode node;
     node.settings.threads = streams + 8;
     node.start({ &engine });
@@ -88,20 +88,20 @@
                 ++whole;
         });
     }
-    engine.waitForRuns(streams);
+    engine.waitForRequests(streams);
     EXPECT_EQ(node.server->inFlight(), streams);
     gate->open();
     for (auto& caller : callers)
         caller.join();
     EXPECT_EQ(whole, streams);
-    EXPECT_EQ(engine.runs(), streams);
+    EXPECT_EQ(engine.requestCount(), streams);
 }
 
 TEST(Stream, BrokenUpstreamEndsWithTheErrorEvent)
 {
     for (StreamEnd end : { StreamEnd::Cut, StreamEnd::NoDone }) {
         FakeBackend engine;
-        engine.behave(events({ "data: 1\n\n", "data: half an ev" }, end));
+        engine.setBehaviour(events({ "data: 1\n\n", "data: half an ev" }, end));
         TestNode node;
         node.start({ &engine });
         auto result = node.chat(TestNode::headers("key"));
@@ -114,32 +114,32 @@
         EXPECT_EQ(error.at("type"), "backend_lost");
         EXPECT_EQ(result->body.find("[DONE]"), std::string::npos);
         // A resend must not run again.
-        EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "may-have-run/backend_lost");
-        EXPECT_EQ(engine.runs(), 1U);
+        EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "may-have-run/backend_lost");
+        EXPECT_EQ(engine.requestCount(), 1U);
     }
 }
 
-TEST(Stream, BrokenPlainBodyIsNeverTakenForWhole)
+TEST(Stream, TruncatedPlainBodyIsDetected)
 {
     FakeBackend service;
     TestNode node;
-    node.settings.wholeAnswerBytes = 1000;
+    node.settings.bufferedAnswerBytes = 1000;
     node.start({ &service });
     // This answer is short enough to be read before anything is sent to the caller, which gets a refusal.
-    service.behave(cutAnswer(100, "{\"half\":"));
-    auto shortOne = node.client()->Post("/v1/services/desk/record", TestNode::headers("a"), "x", "text/plain");
-    EXPECT_EQ(ending(shortOne), "may-have-run/backend_lost");
-    node.hostsReady(1);
+    service.setBehaviour(truncatedAnswer(100, "{\"half\":"));
+    auto shortAnswer = node.client()->Post("/v1/services/desk/record", TestNode::headers("a"), "x", "text/plain");
+    EXPECT_EQ(outcomeAndType(shortAnswer), "may-have-run/backend_lost");
+    node.reportHostsReady(1);
     // This answer exceeds the limit, so the caller fails to read it.
-    service.behave(cutAnswer(10'000, std::string(5'000, 'x')));
-    auto longOne = node.client()->Post("/v1/services/desk/record", TestNode::headers("b"), "x", "text/plain");
-    EXPECT_FALSE(longOne);
+    service.setBehaviour(truncatedAnswer(10'000, std::string(5'000, 'x')));
+    auto longAnswer = node.client()->Post("/v1/services/desk/record", TestNode::headers("b"), "x", "text/plain");
+    EXPECT_FALSE(longAnswer);
 }
 
-TEST(Stream, CrossedAnswerIsNeverPassedOn)
+TEST(Stream, AnswerToOtherRequestIsNotForwarded)
 {
     FakeBackend engine;
-    engine.behave([](const httplib::Request&, httplib::Response& response) {
+    engine.setBehaviour([](const httplib::Request&, httplib::Response& response) {
         response.headers.erase("Kumquatpick-Request");
         response.set_header("Kumquatpick-Request", "another");
         response.set_content("another caller's answer", "application/json");
@@ -147,14 +147,14 @@
     TestNode node;
     node.start({ &engine });
     auto result = node.chat(TestNode::headers("key"));
-    EXPECT_EQ(ending(result), "may-have-run/backend_lost");
+    EXPECT_EQ(outcomeAndType(result), "may-have-run/backend_lost");
     EXPECT_EQ(result->body.find("another caller's"), std::string::npos);
 }
 
-TEST(Stream, CallerThatLeavesIsCancelledAtTheEngine)
+TEST(Stream, DisconnectCancelsRequestAtEngine)
 {
     FakeBackend engine;
-    engine.behave(endlessEvents());
+    engine.setBehaviour(endlessEvents());
     TestNode node;
     node.start({ &engine });
     auto result = streamChat(node, TestNode::headers(), [](std::string_view) { return false; });
@@ -164,11 +164,11 @@
 
 // A caller that disconnects must be detected before the engine sends its first byte. Checking only when bytes arrive
 // would let the engine run on.
-TEST(Stream, CallerThatLeavesBeforeTheFirstByteIsCancelledAtTheEngine)
+TEST(Stream, DisconnectBeforeFirstByteCancelsRequestAtEngine)
 {
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave([gate](const httplib::Request&, httplib::Response&) { gate->wait(); });
+    engine.setBehaviour([gate](const httplib::Request&, httplib::Response&) { gate->wait(); });
     TestNode node;
     node.start({ &engine });
     {
@@ -176,35 +176,35 @@
         caller.send("POST /v1/chat/completions HTTP/1.1\r\nKumquatpick-Team: board\r\nKumquatpick-Repeatable: true\r\n"
                     "Content-Type: application/json\r\nContent-Length: "
             + std::to_string(std::string_view(TestNode::chatBody).size()) + "\r\n\r\n" + TestNode::chatBody);
-        engine.waitForRuns(1);
+        engine.waitForRequests(1);
     }
     engine.waitForCancel();
     gate->open();
 }
 
-TEST(Stream, AnswerOfACallerThatLeftIsKeptForItsResend)
+TEST(Stream, AnswerIsStoredForResendAfterDisconnect)
 {
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
+    engine.setBehaviour(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
     TestNode node;
     node.start({ &engine });
     auto left = streamChat(node, TestNode::headers("key"), [](std::string_view) { return false; });
     EXPECT_FALSE(left);
-    EXPECT_EQ(ending(node.chat(TestNode::headers("key"))), "undecided/undecided");
+    EXPECT_EQ(outcomeAndType(node.chat(TestNode::headers("key"))), "undecided/undecided");
     gate->open();
     httplib::Result again = node.chat(TestNode::headers("key"));
-    while (ending(again) == "undecided/undecided")
+    while (outcomeAndType(again) == "undecided/undecided")
         again = node.chat(TestNode::headers("key"));
     EXPECT_EQ(again->body, "data: 1\n\ndata: 2\n\ndata: [DONE]\n\n");
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(engine.requestCount(), 1U);
     EXPECT_FALSE(engine.anyCancelled());
 }
 
 TEST(Stream, StalledReaderIsCutAndCancelled)
 {
     FakeBackend engine;
-    engine.behave(endlessEvents());
+    engine.setBehaviour(endlessEvents());
     TestNode node;
     node.settings.stallTimeout = Milliseconds(50);
     node.start({ &engine });
@@ -221,11 +221,11 @@
     caller.join();
 }
 
-TEST(Stream, DeadlineHoldsThroughTheStream)
+TEST(Stream, DeadlineAppliesToStream)
 {
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
+    engine.setBehaviour(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
     TestNode node;
     node.start({ &engine });
     auto headers = TestNode::headers("key");
@@ -240,15 +240,15 @@
 {
     FakeBackend engine;
     auto gate = std::make_shared<Gate>();
-    engine.behave(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
+    engine.setBehaviour(events({ "data: 1\n\n", "data: 2\n\n" }, StreamEnd::Done, gate));
     TestNode node;
     node.start({ &engine });
     httplib::Result result(nullptr, httplib::Error::Unknown);
     std::thread caller([&] { result = node.chat(TestNode::headers("key")); });
-    engine.waitForRuns(1);
+    engine.waitForRequests(1);
     node.server->beginDrain();
     auto refused = node.chat(TestNode::headers("other"));
-    EXPECT_EQ(ending(refused), "not-run/stopping");
+    EXPECT_EQ(outcomeAndType(refused), "not-run/stopping");
     EXPECT_EQ(errorOf(refused->body).at("next_attempt"), 2);
     EXPECT_TRUE(refused->has_header("Retry-After"));
     EXPECT_EQ(node.client()->Get("/readyz")->status, 503);
@@ -258,13 +258,13 @@
     caller.join();
     ASSERT_TRUE(result);
     EXPECT_EQ(result->body, "data: 1\n\ndata: 2\n\ndata: [DONE]\n\n");
-    EXPECT_EQ(engine.runs(), 1U);
+    EXPECT_EQ(engine.requestCount(), 1U);
 }
 
 TEST(Stream, ServesPlainServicesWithMethodQueryAndType)
 {
     FakeBackend service;
-    service.behave([](const httplib::Request& request, httplib::Response& response) {
+    service.setBehaviour([](const httplib::Request& request, httplib::Response& response) {
         response.status = 201;
         response.set_content(
             request.method + " " + request.target + " " + request.get_header_value("Content-Type") + " " + request.body,
@@ -281,7 +281,7 @@
     ASSERT_TRUE(get);
     EXPECT_TRUE(get->body.starts_with("GET /results"));
     // Multipart bodies are forwarded unchanged. The fake service parses the form and returns the content of its file.
-    service.behave([](const httplib::Request& request, httplib::Response& response) {
+    service.setBehaviour([](const httplib::Request& request, httplib::Response& response) {
         response.set_content(
             request.get_header_value("Content-Length") + " " + request.get_file_value("photo").content, "text/plain");
     });
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -115,18 +115,18 @@
         }
         directory.setClaims(claims);
         directory.setListed(listed);
-        hostsReady(backends.size());
+        reportHostsReady(backends.size());
         admission.configure(text);
         router.setServing("writers", model);
         router.setServing("desk", plain);
         for (const char* service : { "writers", "desk" })
             admission.setCapacity(service, 400, monotonicNow());
-        server = std::make_unique<CallerServer>(settings, collaborators());
+        server = std::make_unique<CallerServer>(settings, makeDependencies());
         ASSERT_EQ(settle([&] { return server->start(); }).index(), 0U);
     }
 
     // Reports the first hosts as ready, as probes would.
-    void hostsReady(size_t count)
+    void reportHostsReady(size_t count)
     {
         for (size_t i = 0; i < count; ++i) {
             EngineStatus status;
@@ -191,38 +191,38 @@
     std::unique_ptr<CallerServer> server;
 
 private:
-    Collaborators collaborators()
+    CallerDependencies makeDependencies()
     {
-        Collaborators parts { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
-            {}, {}, {}, {}, {}, {}, {}, {} };
-        parts.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
-        parts.permit = permit;
-        parts.makeVoid = makeVoid;
-        parts.mintKey = [](WallTime) { return std::string("minted"); };
-        parts.fetchAnswer = [this](const NodeInfo& node, const std::string& lookup) -> Result<StoredAnswer> {
+        CallerDependencies dependencies { self, admission, router, retryBudget, suspicion, directory, metrics, traces,
+            {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {} };
+        dependencies.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
+        dependencies.permit = permit;
+        dependencies.makeVoid = makeVoid;
+        dependencies.mintKey = [](WallTime) { return std::string("minted"); };
+        dependencies.fetchAnswer = [this](const NodeInfo& node, const std::string& lookup) -> Result<StoredAnswer> {
             auto peer = peers.find(node.id.incarnation);
             if (peer == peers.end())
                 return fail({ ErrorCode::Unreachable, Step::Answer, node.id.name, {} });
             return peer->second->storedAnswer(lookup);
         };
-        parts.text = [this] { return std::make_shared<const OperatorsText>(text); };
-        parts.ready = [this] { return isReady; };
-        parts.entryNodes = [this] { return nodes; };
-        parts.acceptedText = [] { return AcceptedText { 4, "text" }; };
-        parts.publish = [](const PublishRequest& request) {
+        dependencies.text = [this] { return std::make_shared<const OperatorsText>(text); };
+        dependencies.isReady = [this] { return isReady; };
+        dependencies.entryNodes = [this] { return nodes; };
+        dependencies.acceptedText = [] { return AcceptedText { 4, "text" }; };
+        dependencies.publish = [](const PublishRequest& request) {
             if (request.basedOn == 4)
                 return PublishOutcome { PublishOutcome::Kind::Accepted, 5, {} };
             return PublishOutcome { PublishOutcome::Kind::Outdated, 4, {} };
         };
-        parts.status = [] { return nlohmann::json { { "node", "node1" } }; };
-        return parts;
+        dependencies.status = [] { return nlohmann::json { { "node", "node1" } }; };
+        return dependencies;
     }
 };
 
 inline nlohmann::json errorOf(const std::string& body) { return nlohmann::json::parse(body).at("error"); }
 
 // The outcome of a response, as "answered" or "outcome/type".
-inline std::string ending(const httplib::Result& result)
+inline std::string outcomeAndType(const httplib::Result& result)
 {
     if (!result)
         return "no response: " + httplib::to_string(result.error());
--- a/tests/process/hostile_test.cpp
+++ b/tests/process/hostile_test.cpp
@@ -16,7 +16,7 @@
     {
         Random random(seed);
         for (int i = 0; i < requestsEach; ++i) {
-            std::string text = garbageRequest(random);
+            std::string text = randomRequest(random);
             RawCaller caller(port);
             caller.send(text);
             caller.endWriting();
