--- a/src/caller/abandoned.h
+++ b/src/caller/abandoned.h
@@ -34,7 +34,7 @@
 
     mutable std::mutex m_mutex;
     std::unordered_set<uint64_t> m_serials;
-    std::deque<uint64_t> m_order; // Oldest first.
+    std::deque<uint64_t> m_order; // All serials, oldest first.
 };
 
 } // namespace Kumquatpick
--- a/src/caller/answers.h
+++ b/src/caller/answers.h
@@ -72,7 +72,7 @@
     struct Shard {
         mutable std::mutex mutex;
         std::unordered_map<std::string, Entry> entries;
-        std::list<std::string> ended; // Oldest first.
+        std::list<std::string> ended; // Keys of ended requests, oldest first.
         size_t bytes = 0;
     };
 
--- a/src/caller/connection.h
+++ b/src/caller/connection.h
@@ -13,7 +13,7 @@
 // Parts of a request that are removed before the HTTP library processes them. The library would decode forms and
 // content encodings, cut answers to byte ranges and match paths with recursive regular expressions.
 struct RequestLine {
-    std::string target; // Path and query as sent.
+    std::string target; // The path and query as sent by the caller.
     std::string contentType;
     std::string framingProblem; // Why the framing is invalid; empty if it is valid.
 
@@ -44,7 +44,7 @@
     bool isBodyConsumed() const;
     bool hasBufferedInput() const { return m_position < m_buffer.size(); }
     bool isOverLimit() const { return m_isOverLimit; }
-    // These refer to the request in progress.
+    // Both functions refer to the request in progress.
     bool hasReadInput() const { return m_bytesRead > 0; }
     bool hasWrittenOutput() const { return m_bytesWritten > 0; }
 
--- a/src/caller/dependencies.h
+++ b/src/caller/dependencies.h
@@ -26,7 +26,7 @@
 struct EntryNode {
     Address address;
     std::string zone;
-    uint32_t streams = 0; // In flight.
+    uint32_t streams = 0; // Streams in flight at this node.
     bool stopping = false;
 };
 
@@ -48,7 +48,7 @@
 
     Kind kind = Kind::Undecided;
     Offset version = 0; // The new version if accepted, the current one if outdated.
-    std::vector<TextFault> faults; // Set if invalid.
+    std::vector<TextFault> faults; // Set if kind is Invalid.
 };
 
 // Dependencies of the caller-facing server. All are used by many threads at once and must outlive the server.
@@ -74,9 +74,9 @@
     // The accepted operators' text, or nullptr while none is known; no requests are served until then.
     std::function<std::shared_ptr<const OperatorsText>()> text;
     std::function<bool()> isReady;
-    std::function<std::vector<EntryNode>()> entryNodes; // Includes this node.
+    std::function<std::vector<EntryNode>()> entryNodes; // The live nodes, including this one.
 
-    // For the operators' endpoints.
+    // Functions for the operators' endpoints.
     std::function<AcceptedText()> acceptedText;
     std::function<PublishOutcome(const PublishRequest&)> publish;
     std::function<nlohmann::json()> status;
--- a/src/caller/entries.cpp
+++ b/src/caller/entries.cpp
@@ -18,7 +18,7 @@
     struct RankedNode {
         EntryChoice choice;
         bool isInCallerZone = false;
-        double score = 0; // Lower comes first.
+        double score = 0; // Nodes with a lower score come first.
     };
 
     // Weighted rendezvous hashing: each node is first for a share of the callers in proportion to its weight.
--- a/src/caller/entries.h
+++ b/src/caller/entries.h
@@ -14,7 +14,7 @@
 struct EntryChoice {
     Address address;
     std::string zone;
-    double weight = 0; // Above 0, at most 1.
+    double weight = 0; // The weight is above 0 and at most 1.
 };
 
 // Nodes that a caller should call, best first. Nodes in the caller's availability zone come before others, less loaded
--- a/src/caller/recentrequests.h
+++ b/src/caller/recentrequests.h
@@ -23,7 +23,7 @@
 private:
     size_t m_limit;
     mutable std::mutex m_mutex;
-    std::deque<std::shared_ptr<const RequestTrace>> m_order; // Oldest first.
+    std::deque<std::shared_ptr<const RequestTrace>> m_order; // All requests, oldest first.
     // The keys refer to ids in the objects that m_order holds.
     std::unordered_map<std::string_view, std::shared_ptr<const RequestTrace>> m_byId;
 };
--- a/src/caller/request.cpp
+++ b/src/caller/request.cpp
@@ -13,7 +13,7 @@
 namespace {
 
     constexpr std::string_view servicePrefix = "/v1/services/";
-    constexpr size_t maxNameLength = 200; // For keys, teams and services.
+    constexpr size_t maxNameLength = 200; // Limit for keys and for names of teams and services.
     // Tolerance for callers whose clocks are ahead. A key issued further in the future would stay valid for longer than
     // the journals keep it.
     constexpr Milliseconds maxClockSkew { 300'000 };
--- a/src/caller/request.h
+++ b/src/caller/request.h
@@ -34,7 +34,7 @@
     RequestKind kind = RequestKind::Chat;
     std::string method;
     std::string service;
-    std::string upstreamPath; // Includes the query.
+    std::string upstreamPath; // Path and query for the backend server.
     std::string contentType;
     std::string body;
     std::vector<uint64_t> prefixHashes;
--- a/src/caller/requesttrace.h
+++ b/src/caller/requesttrace.h
@@ -52,7 +52,7 @@
         std::string hop;
         std::string peer;
         std::string detail;
-        std::chrono::nanoseconds at {}; // Since the request arrived.
+        std::chrono::nanoseconds at {}; // Time since the request arrived.
         std::chrono::nanoseconds duration {};
         bool failed = false;
     };
--- a/src/caller/server.h
+++ b/src/caller/server.h
@@ -14,7 +14,7 @@
 class CallerServer {
 public:
     CallerServer(CallerSettings, CallerDependencies);
-    // Aborts requests in flight; call drain() before to let them finish.
+    // Aborts requests in flight. Call drain() first to let them finish.
     ~CallerServer();
 
     // Starts listening and serving; fails with InvalidArgument if the address can't be bound.
--- a/src/caller/settings.h
+++ b/src/caller/settings.h
@@ -16,7 +16,7 @@
     size_t threads = 256;
     size_t headerLimitBytes = 32 * 1024;
     size_t bodyLimitBytes = 8 * 1024 * 1024;
-    Milliseconds requestReadTimeout { 10'000 }; // For a whole request, head and body, to arrive.
+    Milliseconds requestReadTimeout { 10'000 }; // Limit for receiving a whole request, head and body.
     Milliseconds stallTimeout { 10'000 }; // Limit for a caller that accepts no bytes of its answer.
     Milliseconds keepAlive { 5'000 }; // How long an idle connection is kept open.
 
@@ -33,7 +33,7 @@
     // Limits of the answers to non-repeatable requests that are stored for resends.
     Milliseconds answerLifetime { 600'000 };
     size_t answerStoreBytes = 256 * 1024 * 1024;
-    size_t maxStoredBodyBytes = 4 * 1024 * 1024; // For one answer; a larger one is not stored.
+    size_t maxStoredBodyBytes = 4 * 1024 * 1024; // Limit for one answer. A larger one is not stored.
     // Whether a non-repeatable request runs to its end after its caller disconnected, so that a resend gets its answer.
     // If not, it is cancelled and every resend gets "may have run".
     bool finishForResend = true;
--- a/tests/caller/entries_test.cpp
+++ b/tests/caller/entries_test.cpp
@@ -29,7 +29,7 @@
     auto nodes = randomNodes();
     auto ownZone = *zone();
     auto choices = chooseEntries(nodes, ownZone, caller);
-    std::map<uint16_t, const EntryNode*> expectedNodes; // By port, which is unique.
+    std::map<uint16_t, const EntryNode*> expectedNodes; // Nodes by port, which is unique.
     for (const auto& node : nodes) {
         if (!node.stopping)
             expectedNodes[node.address.port] = &node;
@@ -68,7 +68,7 @@
     std::vector<EntryNode> nodes {
         { { "10.0.0.1", 1 }, "howrah", 0 },
         { { "10.0.0.1", 2 }, "howrah", 0 },
-        { { "10.0.0.1", 3 }, "howrah", 16 }, // Half the weight.
+        { { "10.0.0.1", 3 }, "howrah", 16 }, // Has half the weight of an idle node.
         { { "10.0.0.1", 4 }, "siliguri", 0 },
     };
     std::map<uint16_t, int> first;
--- a/tests/caller/request_test.cpp
+++ b/tests/caller/request_test.cpp
@@ -66,7 +66,7 @@
         { "Kumquatpick-Issued", nullptr, RefusalType::MissingKey },
         { "Kumquatpick-Issued", "yesterday", RefusalType::Malformed },
         { "Kumquatpick-Issued", "-5", RefusalType::Malformed },
-        { "Kumquatpick-Issued", "1900000000000", RefusalType::Malformed }, // Three years ahead.
+        { "Kumquatpick-Issued", "1900000000000", RefusalType::Malformed }, // Three years in the future.
         { "Kumquatpick-Attempt", "0", RefusalType::Malformed },
         { "Kumquatpick-Attempt", "-1", RefusalType::Malformed },
         { "Kumquatpick-Attempt", "4294967296", RefusalType::Malformed },
--- a/tests/caller/stream_test.cpp
+++ b/tests/caller/stream_test.cpp
@@ -162,8 +162,8 @@
     engine.waitForCancel();
 }
 
-// A caller that disconnects must be detected before the engine sends its first byte. Checking only when bytes arrive
-// would let the engine run on.
+// A disconnect must also cancel a request whose engine has sent no byte yet. If it is checked only when bytes arrive,
+// the engine runs on without a caller.
 TEST(Stream, DisconnectBeforeFirstByteCancelsRequestAtEngine)
 {
     FakeBackend engine;
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -179,7 +179,7 @@
     std::shared_ptr<FakeJournal> journal;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime)> permit;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime)> makeVoid;
-    std::map<uint64_t, CallerServer*> peers; // By incarnation. Answers are fetched from these.
+    std::map<uint64_t, CallerServer*> peers; // Nodes to fetch answers from, by incarnation.
     Admission admission;
     Router router { 7 };
     RetryBudget retryBudget;
