--- a/src/caller/connection.h
+++ b/src/caller/connection.h
@@ -10,19 +10,19 @@
 
 namespace Kumquatpick {
 
-// What the HTTP library would treat in its own way, taken out of a request before it does: it would decode
-// forms and encodings, cut answers to ranges and match paths by recursive regular expressions.
+// Parts of a request that are removed before the HTTP library processes them. The library would decode forms and
+// content encodings, cut answers to byte ranges and match paths with recursive regular expressions.
 struct RequestLine {
-    std::string target; // Path and query as sent.
+    std::string target; // The path and query as sent by the caller.
     std::string contentType;
-    std::string problem; // Why the framing can't be trusted; empty if it can.
+    std::string framingProblem; // Why the framing is invalid; empty if it is valid.
 
-    // The target up to its query.
+    // The target without its query.
     std::string_view path() const;
 };
 
-// One caller's connection: a socket with the limits that the library lacks on what a slow or hostile caller
-// may cost. Used by one thread at a time.
+// A caller's connection. Adds the limits on time and bytes that the library lacks against slow or hostile callers.
+// Used by one thread at a time.
 class CallerConnection : public httplib::Stream {
 public:
     CallerConnection(int socket, const CallerSettings&);
@@ -30,31 +30,31 @@
     CallerConnection(const CallerConnection&) = delete;
     CallerConnection& operator=(const CallerConnection&) = delete;
 
-    // The one whose request this thread serves; nullptr outside of a request.
-    static CallerConnection* ofThisThread();
+    // The connection whose request this thread is serving, or nullptr.
+    static CallerConnection* forCurrentThread();
 
-    // Starts the clock and the byte counts of a request.
+    // Starts the read timeout and resets the byte counts for the next request.
     void beginRequest();
-    // The head is read: what follows counts against the limit of bodies. Changes the request so that the
-    // library reads its body as plain bytes and answers it whole.
-    void headRead(httplib::Request&);
+    // Called once the head is read. Applies the body limit to the bytes that follow and changes the request so that
+    // the library reads its body as plain bytes and sends the complete response.
+    void processHead(httplib::Request&);
     const RequestLine& line() const { return m_line; }
 
-    // Whether the request was read to its end, so that another one may follow.
-    bool bodyConsumed() const;
-    bool hasBuffered() const { return m_position < m_buffer.size(); }
-    bool overLimit() const { return m_overLimit; }
-    // Of the request in progress.
-    bool anythingRead() const { return m_read > 0; }
-    bool anythingWritten() const { return m_written > 0; }
-
-    // The caller closed its end or the connection broke.
-    bool callerGone() const;
-    // Best effort and without waiting: for refusals from the accepting thread.
-    void writeNow(std::string_view);
+    // Whether the request was read to its end, so that the next bytes start another request.
+    bool isBodyConsumed() const;
+    bool hasBufferedInput() const { return m_position < m_buffer.size(); }
+    bool isOverLimit() const { return m_isOverLimit; }
+    // Both functions refer to the request in progress.
+    bool hasReadInput() const { return m_bytesRead > 0; }
+    bool hasWrittenOutput() const { return m_bytesWritten > 0; }
+
+    // Whether the caller closed its end or the connection broke.
+    bool isCallerGone() const;
+    // Sends without blocking and ignores failures. Used by the accept thread for refusals.
+    void writeNonBlocking(std::string_view);
     void shutdownWriting();
-    // Ends what another thread waits for on this socket.
-    void cut();
+    // Shuts down the socket, which unblocks a thread that waits on it.
+    void shutdownSocket();
 
     bool is_readable() const override;
     bool is_writable() const override;
@@ -65,9 +65,9 @@
     socket_t socket() const override { return m_socket; }
 
 private:
-    friend class CurrentConnection;
+    friend class CurrentConnectionScope;
 
-    bool fill();
+    bool fillBuffer();
     bool waitFor(short events, MonotonicTime until) const;
     void checkFraming(httplib::Request&);
 
@@ -77,23 +77,23 @@
     size_t m_position = 0;
 
     RequestLine m_line;
-    MonotonicTime m_readBy {};
-    size_t m_read = 0; // Bytes that the library took of the request in progress.
+    MonotonicTime m_readDeadline {};
+    size_t m_bytesRead = 0; // Bytes of the request in progress that the library has read.
     size_t m_readLimit = 0;
     size_t m_headBytes = 0;
-    size_t m_bodyBytes = 0; // By its Content-Length.
+    size_t m_bodyBytes = 0; // The value of Content-Length.
     bool m_bodyHasLength = true;
-    bool m_overLimit = false;
-    size_t m_written = 0;
+    bool m_isOverLimit = false;
+    size_t m_bytesWritten = 0;
 };
 
-// Marks a connection as this thread's while a request of it is served.
-class CurrentConnection {
+// Sets the connection that CallerConnection::forCurrentThread() returns for the lifetime of this object.
+class CurrentConnectionScope {
 public:
-    explicit CurrentConnection(CallerConnection&);
-    ~CurrentConnection();
-    CurrentConnection(const CurrentConnection&) = delete;
-    CurrentConnection& operator=(const CurrentConnection&) = delete;
+    explicit CurrentConnectionScope(CallerConnection&);
+    ~CurrentConnectionScope();
+    CurrentConnectionScope(const CurrentConnectionScope&) = delete;
+    CurrentConnectionScope& operator=(const CurrentConnectionScope&) = delete;
 };
 
 } // namespace Kumquatpick
--- a/src/caller/listener.h
+++ b/src/caller/listener.h
@@ -12,14 +12,14 @@
 
 namespace Kumquatpick {
 
-// One thread that accepts connections and watches those without a request in progress, so that an idle caller
-// costs no thread of the pool.
+// A thread that accepts connections and polls those without a request in progress, so that idle connections occupy
+// no thread of the pool.
 class Listener {
 public:
-    // Takes a connection with something to read, or hands it back if every thread is busy.
+    // Takes over a readable connection, or returns it if every thread is busy.
     using Serve = std::function<std::unique_ptr<CallerConnection>(std::unique_ptr<CallerConnection>)>;
 
-    // busyAnswer: what a caller is sent when nobody has time for it.
+    // busyAnswer is the response that is sent if every thread is busy.
     Listener(const CallerSettings&, Serve, std::string busyAnswer);
     ~Listener();
 
@@ -29,11 +29,11 @@
     uint16_t port() const { return m_port; }
     void stop();
 
-    // Watches a connection for its next request.
-    void park(std::unique_ptr<CallerConnection>);
-    // Closes a connection of which not all was read. Closing at once would reset it, and the caller might
-    // lose the answer that was just sent; so what it still sends is read and dropped for a while.
-    void closeGently(std::unique_ptr<CallerConnection>);
+    // Polls an idle connection for its next request.
+    void watchIdle(std::unique_ptr<CallerConnection>);
+    // Closes a connection that may have unread input. Closing at once would reset it, and the caller might lose the
+    // answer that was just sent. Input is therefore read and discarded for up to one second before.
+    void closeLingering(std::unique_ptr<CallerConnection>);
 
 private:
     struct Watched {
@@ -44,19 +44,19 @@
 
     void run();
     void accept();
-    void readable(int socket);
+    void onReadable(int socket);
     void refuseBusy(std::unique_ptr<CallerConnection>);
     void watch(std::unique_ptr<CallerConnection>, Milliseconds atMost, bool closing);
     std::unique_ptr<CallerConnection> unwatch(int socket);
     void closeExpired(MonotonicTime now);
-    bool dropInput(int socket);
+    bool discardInput(int socket);
 
     const CallerSettings& m_settings;
     Serve m_serve;
     std::string m_busyAnswer;
     int m_socket = -1;
     int m_epoll = -1;
-    int m_wake = -1;
+    int m_wakeEvent = -1;
     uint16_t m_port = 0;
     std::mutex m_mutex;
     std::map<int, Watched> m_watched;
--- a/src/caller/request.cpp
+++ b/src/caller/request.cpp
@@ -13,17 +13,18 @@
 namespace {
 
     constexpr std::string_view servicePrefix = "/v1/services/";
-    constexpr size_t longestName = 200; // Of keys, teams and services.
-    // Callers' clocks may be ahead of ours. A key from further ahead would outlive the journals' retention.
-    constexpr Milliseconds clockSkew { 300'000 };
+    constexpr size_t maxNameLength = 200; // Limit for keys and for names of teams and services.
+    // Tolerance for callers whose clocks are ahead. A key issued further in the future would stay valid for longer than
+    // the journals keep it.
+    constexpr Milliseconds maxClockSkew { 300'000 };
 
     struct HeaderField {
         bool present = false;
-        bool ambiguous = false; // Sent more than once: there is no telling which one is meant.
+        bool ambiguous = false; // Sent more than once, so it is unclear which value applies.
         std::string_view value;
     };
 
-    HeaderField field(const httplib::Headers& headers, const char* name)
+    HeaderField headerField(const httplib::Headers& headers, const char* name)
     {
         auto [first, last] = headers.equal_range(name);
         if (first == last)
@@ -34,7 +35,7 @@
     bool isPlainName(std::string_view text)
     {
         auto plain = [](char c) { return c > ' ' && c < 0x7f && c != '"' && c != '\\'; };
-        return !text.empty() && text.size() <= longestName && std::ranges::all_of(text, plain);
+        return !text.empty() && text.size() <= maxNameLength && std::ranges::all_of(text, plain);
     }
 
     template <typename Number> std::optional<Number> parseNumber(std::string_view text)
@@ -46,11 +47,11 @@
         return value;
     }
 
-    // The default where the header is absent, nothing where it is unreadable.
+    // Returns the fallback if the header is absent and nullopt if it is invalid.
     template <typename Number>
-    std::optional<Number> numberOr(const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
+    std::optional<Number> numberHeaderOr(const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
     {
-        HeaderField header = field(headers, name);
+        HeaderField header = headerField(headers, name);
         if (!header.present)
             return fallback;
         if (header.ambiguous)
@@ -58,10 +59,11 @@
         return parseNumber<Number>(header.value);
     }
 
-    // Unreadable counts as not repeatable, which is the careful reading.
+    // Returns nullopt if the header is invalid. parseIdentity() then treats the request as not repeatable, so that it
+    // can't run twice.
     std::optional<bool> parseRepeatable(std::string_view method, const httplib::Headers& headers)
     {
-        HeaderField header = field(headers, "Kumquatpick-Repeatable");
+        HeaderField header = headerField(headers, "Kumquatpick-Repeatable");
         if (!header.present)
             return method == "GET" || method == "HEAD";
         if (!header.ambiguous && header.value == "true")
@@ -73,7 +75,7 @@
 
     std::optional<Priority> parsePriority(const httplib::Headers& headers)
     {
-        HeaderField header = field(headers, "Kumquatpick-Priority");
+        HeaderField header = headerField(headers, "Kumquatpick-Priority");
         if (!header.present || header.value == "normal")
             return header.ambiguous ? std::nullopt : std::optional(Priority::Normal);
         if (!header.ambiguous && header.value == "low")
@@ -83,12 +85,12 @@
         return std::nullopt;
     }
 
-    // A key that a node made names its issue time itself.
+    // A key that was minted by a node contains its issue time.
     std::optional<WallTime> parseIssued(std::string_view key, const httplib::Headers& headers)
     {
         if (auto minted = MintedKey::parse(key))
             return minted->issuedAt;
-        auto issued = numberOr<int64_t>(headers, "Kumquatpick-Issued", std::nullopt);
+        auto issued = numberHeaderOr<int64_t>(headers, "Kumquatpick-Issued", std::nullopt);
         if (!issued || *issued <= 0)
             return std::nullopt;
         return WallTime { Milliseconds(*issued) };
@@ -96,33 +98,33 @@
 
     std::optional<RequestKey> parseKey(const httplib::Headers& headers, WallTime now)
     {
-        HeaderField key = field(headers, "Idempotency-Key");
+        HeaderField key = headerField(headers, "Idempotency-Key");
         if (key.ambiguous || !isPlainName(key.value))
             return std::nullopt;
-        auto attempt = numberOr<uint32_t>(headers, "Kumquatpick-Attempt", 1);
+        auto attempt = numberHeaderOr<uint32_t>(headers, "Kumquatpick-Attempt", 1);
         auto issued = parseIssued(key.value, headers);
-        if (!attempt || *attempt == 0 || !issued || *issued > now + clockSkew)
+        if (!attempt || *attempt == 0 || !issued || *issued > now + maxClockSkew)
             return std::nullopt;
         return RequestKey { std::string(key.value), *attempt, *issued };
     }
 
-    // Each function reads one part and refuses, or returns nothing.
-    using Check = std::optional<Refusal>;
+    // Each function parses one part and returns a refusal if that part is invalid.
+    using OptionalRefusal = std::optional<Refusal>;
 
     Refusal malformed(std::string message) { return { Outcome::NotRun, RefusalType::Malformed, std::move(message) }; }
 
-    Check readTeam(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readTeam(const RawRequest& raw, CallerRequest& request)
     {
-        HeaderField team = field(raw.headers, "Kumquatpick-Team");
+        HeaderField team = headerField(raw.headers, "Kumquatpick-Team");
         if (!team.present)
             return Refusal { Outcome::NotRun, RefusalType::UnknownTeam, "Kumquatpick-Team is missing" };
         if (team.ambiguous || !isPlainName(team.value))
-            return malformed("Kumquatpick-Team is unreadable");
+            return malformed("Kumquatpick-Team is not a valid name");
         request.team = team.value;
         return std::nullopt;
     }
 
-    Check readPriority(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readPriority(const RawRequest& raw, CallerRequest& request)
     {
         auto priority = parsePriority(raw.headers);
         if (!priority)
@@ -131,18 +133,18 @@
         return std::nullopt;
     }
 
-    Check readDeadline(const RawRequest& raw, const CallerSettings& settings, CallerRequest& request)
+    OptionalRefusal readDeadline(const RawRequest& raw, const CallerSettings& settings, CallerRequest& request)
     {
-        auto deadline = numberOr<int64_t>(raw.headers, "Kumquatpick-Deadline-Ms", settings.defaultDeadline.count());
+        auto deadline = numberHeaderOr<int64_t>(raw.headers, "Kumquatpick-Deadline-Ms", settings.defaultDeadline.count());
         if (!deadline)
             return malformed("Kumquatpick-Deadline-Ms must be a whole number of milliseconds");
         if (*deadline <= 0)
             return Refusal { Outcome::NotRun, RefusalType::DeadlinePassed, "the deadline has passed" };
-        request.timeout = std::min(Milliseconds(*deadline), settings.longestDeadline);
+        request.timeout = std::min(Milliseconds(*deadline), settings.maxDeadline);
         return std::nullopt;
     }
 
-    Check readKey(const RawRequest& raw, WallTime now, CallerRequest& request)
+    OptionalRefusal readKey(const RawRequest& raw, WallTime now, CallerRequest& request)
     {
         auto repeatable = parseRepeatable(raw.method, raw.headers);
         if (!repeatable)
@@ -153,31 +155,31 @@
             request.key = std::move(*key);
         if (key || request.repeatable)
             return std::nullopt;
-        if (!field(raw.headers, "Idempotency-Key").present)
+        if (!headerField(raw.headers, "Idempotency-Key").present)
             return Refusal { Outcome::NotRun, RefusalType::MissingKey,
                 "a request that is not repeatable needs an Idempotency-Key" };
-        // A resend without its issue time could come after the journals forgot the key, and run again.
-        if (!field(raw.headers, "Kumquatpick-Issued").present)
+        // Without an issue time, a resend that arrives after the journals dropped the key would run again.
+        if (!headerField(raw.headers, "Kumquatpick-Issued").present)
             return Refusal { Outcome::NotRun, RefusalType::MissingKey,
                 "an Idempotency-Key needs its issue time in Kumquatpick-Issued" };
-        return malformed("Idempotency-Key, Kumquatpick-Attempt or Kumquatpick-Issued is unreadable");
+        return malformed("Idempotency-Key, Kumquatpick-Attempt or Kumquatpick-Issued is invalid");
     }
 
-    Check readChat(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readChat(const RawRequest& raw, CallerRequest& request)
     {
         request.kind = RequestKind::Chat;
         if (raw.method != "POST")
-            return malformed("chat completions are posted");
+            return malformed("chat completions require the POST method");
         auto chat = parseChatBody(raw.body);
         if (!chat)
             return malformed("the body must be a JSON object with a model");
         request.service = std::move(chat->model);
         request.upstreamPath = raw.target;
-        request.prefixes = promptPrefixes(chat->prompt);
+        request.prefixHashes = promptPrefixHashes(chat->prompt);
         return std::nullopt;
     }
 
-    Check readServiceCall(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readServiceCall(const RawRequest& raw, CallerRequest& request)
     {
         request.kind = RequestKind::ServiceCall;
         std::string_view rest = raw.target.substr(servicePrefix.size());
@@ -189,13 +191,13 @@
         return std::nullopt;
     }
 
-    Check readCall(const RawRequest& raw, CallerRequest& request)
+    OptionalRefusal readCall(const RawRequest& raw, CallerRequest& request)
     {
-        Check refusal = isServicePath(raw.target) ? readServiceCall(raw, request) : readChat(raw, request);
+        OptionalRefusal refusal = isServicePath(raw.target) ? readServiceCall(raw, request) : readChat(raw, request);
         if (refusal)
             return refusal;
         if (!isPlainName(request.service))
-            return malformed("the service's name is unreadable");
+            return malformed("the service name is not valid");
         request.method = raw.method;
         request.contentType = raw.contentType;
         request.body = raw.body;
@@ -205,7 +207,7 @@
     uint64_t fingerprintOf(const CallerRequest& request)
     {
         uint64_t hash = 0;
-        // Chained, so that bytes can't move from one part to the next unseen.
+        // Each hash is the seed of the next, so that moving bytes from one part to the next changes the result.
         std::initializer_list<std::string_view> parts = { request.team, request.service, request.method,
             request.upstreamPath, request.contentType, request.body };
         for (std::string_view part : parts)
@@ -217,7 +219,7 @@
 
 bool isServicePath(std::string_view path) { return path.starts_with(servicePrefix); }
 
-RequestIdentity identify(std::string_view method, const httplib::Headers& headers, WallTime now)
+RequestIdentity parseIdentity(std::string_view method, const httplib::Headers& headers, WallTime now)
 {
     return { parseRepeatable(method, headers).value_or(false), parseKey(headers, now) };
 }
@@ -225,17 +227,17 @@
 std::variant<CallerRequest, Refusal> parseRequest(const RawRequest& raw, const CallerSettings& settings, WallTime now)
 {
     CallerRequest request;
-    if (Check refusal = readKey(raw, now, request))
+    if (OptionalRefusal refusal = readKey(raw, now, request))
         return *refusal;
-    if (Check refusal = readTeam(raw, request))
+    if (OptionalRefusal refusal = readTeam(raw, request))
         return *refusal;
-    if (Check refusal = readPriority(raw, request))
+    if (OptionalRefusal refusal = readPriority(raw, request))
         return *refusal;
-    if (Check refusal = readDeadline(raw, settings, request))
+    if (OptionalRefusal refusal = readDeadline(raw, settings, request))
         return *refusal;
-    if (Check refusal = readCall(raw, request))
+    if (OptionalRefusal refusal = readCall(raw, request))
         return *refusal;
-    HeaderField trace = field(raw.headers, "traceparent");
+    HeaderField trace = headerField(raw.headers, "traceparent");
     if (trace.present && !trace.ambiguous)
         request.trace = TraceContext::parse(trace.value);
     request.fingerprint = fingerprintOf(request);
--- a/src/caller/server.cpp
+++ b/src/caller/server.cpp
@@ -1,9 +1,9 @@
 #include "caller/server.h"
 
+#include "caller/endpoints.h"
 #include "caller/httpserver.h"
-#include "caller/pages.h"
+#include "caller/requesthandler.h"
 #include "caller/respond.h"
-#include "caller/serving.h"
 
 #include <nlohmann/json.hpp>
 #include <thread>
@@ -12,12 +12,12 @@
 
 namespace {
 
-    constexpr Milliseconds drainPoll { 10 };
+    constexpr Milliseconds drainPollInterval { 10 };
 
     constexpr std::string_view requestsPath = "/v1/requests/";
     constexpr std::string_view explainPath = "/v1/explain/";
 
-    // Sent when no thread is free to read the request: its key is not known, so nothing can be promised of it.
+    // Sent if no thread is free to read the request. Its key is not known then, so the outcome is "undecided".
     std::string busyAnswer(const CallerSettings& settings)
     {
         Refusal refusal { Outcome::Undecided, RefusalType::QueueFull, "every thread of this node is busy", Step::Accept,
@@ -33,32 +33,33 @@
     {
         if (status == 413)
             return { Outcome::NotRun, RefusalType::TooLarge,
-                "the limit of a body is " + std::to_string(settings.bodyLimitBytes) + " bytes" };
+                "the request body exceeds the limit of " + std::to_string(settings.bodyLimitBytes) + " bytes" };
         if (status >= 500)
-            return { Outcome::Undecided, RefusalType::Undecided, "an error inside of this node", Step::Accept, {},
+            return { Outcome::Undecided, RefusalType::Undecided, "internal error of this node", Step::Accept, {},
                 settings.retryAfter, {} };
-        const auto* connection = CallerConnection::ofThisThread();
-        std::string problem = connection ? connection->line().problem : "";
-        return { Outcome::NotRun, RefusalType::Malformed, problem.empty() ? "the request can't be read" : problem };
+        const auto* connection = CallerConnection::forCurrentThread();
+        std::string framingProblem = connection ? connection->line().framingProblem : "";
+        return { Outcome::NotRun, RefusalType::Malformed,
+            framingProblem.empty() ? "the request is malformed" : framingProblem };
     }
 
     template <typename Condition> bool waitUntil(MonotonicTime deadline, Condition&& condition)
     {
         while (!condition() && monotonicNow() < deadline)
-            std::this_thread::sleep_for(drainPoll);
+            std::this_thread::sleep_for(drainPollInterval);
         return condition();
     }
 
-    bool takesRequests(std::string_view path) { return path == chatPath || isServicePath(path); }
+    bool isRequestPath(std::string_view path) { return path == chatPath || isServicePath(path); }
 
 }
 
 struct CallerServer::Impl {
-    Impl(CallerSettings settings, Collaborators collaborators)
+    Impl(CallerSettings settings, CallerDependencies callerDependencies)
         : settings(std::move(settings))
-        , parts(std::move(collaborators))
-        , context { this->settings, parts, { this->settings.answerBytes, this->settings.answerLifetime }, {},
-            RecentRequests(this->settings.explainedRequests) }
+        , dependencies(std::move(callerDependencies))
+        , context { this->settings, dependencies, { this->settings.answerStoreBytes, this->settings.answerLifetime },
+            {}, RecentRequests(this->settings.recentRequestLimit) }
         , http(
               this->settings,
               [this](const httplib::Request& request, const RequestLine& line, httplib::Response& response) {
@@ -70,24 +71,24 @@
     }
 
     void handle(const httplib::Request&, const RequestLine&, httplib::Response&);
-    void handlePage(const httplib::Request&, const RequestLine&, httplib::Response&);
+    void handleEndpoint(const httplib::Request&, const RequestLine&, httplib::Response&);
     void handleError(const httplib::Request&, httplib::Response&);
 
     const CallerSettings settings;
-    Collaborators parts;
-    ServeContext context;
+    CallerDependencies dependencies;
+    ServerContext context;
     HttpServer http;
 };
 
 void CallerServer::Impl::handle(const httplib::Request& request, const RequestLine& line, httplib::Response& response)
 {
-    if (takesRequests(line.path()))
-        std::make_shared<Serving>(context, request, line)->serve(response);
+    if (isRequestPath(line.path()))
+        std::make_shared<RequestHandler>(context, request, line)->serve(response);
     else
-        handlePage(request, line, response);
+        handleEndpoint(request, line, response);
 }
 
-void CallerServer::Impl::handlePage(
+void CallerServer::Impl::handleEndpoint(
     const httplib::Request& request, const RequestLine& line, httplib::Response& response)
 {
     std::string_view path = line.path();
@@ -116,26 +117,27 @@
     response.status = 404;
 }
 
-// Errors of the HTTP library and of the limits on reading. Responses that say their outcome are left alone.
+// Writes the response for errors of the HTTP library and of the read limits. Responses that already have an outcome
+// are not changed.
 void CallerServer::Impl::handleError(const httplib::Request& request, httplib::Response& response)
 {
     if (!response.body.empty() || response.has_header("Kumquatpick-Outcome"))
         return;
     int status = response.status;
     Refusal refusal = refusalForStatus(status, settings);
-    const auto* connection = CallerConnection::ofThisThread();
-    if (connection && !connection->bodyConsumed())
+    const auto* connection = CallerConnection::forCurrentThread();
+    if (connection && !connection->isBodyConsumed())
         response.set_header("Connection", "close");
-    if (connection && takesRequests(connection->line().path()))
-        std::make_shared<Serving>(context, request, connection->line())->refuseUnread(refusal, response);
+    if (connection && isRequestPath(connection->line().path()))
+        std::make_shared<RequestHandler>(context, request, connection->line())->refuseUnread(refusal, response);
     else
         writeRefusal(refusal, "", response);
     if (status == 404)
         response.status = 404;
 }
 
-CallerServer::CallerServer(CallerSettings settings, Collaborators parts)
-    : m_impl(std::make_unique<Impl>(std::move(settings), std::move(parts)))
+CallerServer::CallerServer(CallerSettings settings, CallerDependencies dependencies)
+    : m_impl(std::make_unique<Impl>(std::move(settings), std::move(dependencies)))
 {
 }
 
@@ -147,22 +149,23 @@
 
 void CallerServer::beginDrain() { m_impl->context.stopping = true; }
 
-// Until the streams are over, newcomers are still told that this node is stopping; only then nobody is listened to.
+// New requests are still answered with "stopping" while requests are in flight. The listener is stopped only after
+// that.
 bool CallerServer::drain(MonotonicTime deadline)
 {
     beginDrain();
     waitUntil(deadline, [this] { return inFlight() == 0; });
     m_impl->http.stopListening();
-    bool whole = waitUntil(deadline, [this] { return m_impl->http.inProgress() == 0; });
+    bool isComplete = waitUntil(deadline, [this] { return m_impl->http.inProgress() == 0; });
     m_impl->http.stopNow();
-    return whole;
+    return isComplete;
 }
 
 uint32_t CallerServer::inFlight() const { return m_impl->context.inFlight; }
 
 StoredAnswer CallerServer::storedAnswer(const std::string& lookup)
 {
-    auto found = m_impl->context.answers.find(AnswerKey::fromLookup(lookup), monotonicNow());
+    auto found = m_impl->context.answers.find(AnswerKey::fromLookupText(lookup), monotonicNow());
     if (found.state == AnswerStore::State::Running)
         found.answer.phase = StoredAnswer::Phase::Running;
     return found.answer;
--- a/tests/caller/rawcaller.h
+++ b/tests/caller/rawcaller.h
@@ -13,7 +13,7 @@
 
 namespace Kumquatpick {
 
-// A caller without an HTTP library.
+// A caller that sends raw bytes over a TCP socket.
 class RawCaller {
 public:
     explicit RawCaller(uint16_t port)
@@ -46,8 +46,8 @@
     int m_socket;
 };
 
-// Parts of real requests, cut, doubled and mixed with noise.
-inline std::string garbageRequest(Random& random)
+// A random sequence of parts of valid and invalid requests and of random bytes.
+inline std::string randomRequest(Random& random)
 {
     static const std::vector<std::string> parts { "GET ", "POST ", "PUT ", "/v1/chat/completions", "/v1/services/desk/",
         "/v1/requests/", "/v1/explain/", "/v1/entries?zone=", "/v1/config", "/v1/keys", " HTTP/1.1\r\n", "\r\n",
--- a/tests/caller/request_test.cpp
+++ b/tests/caller/request_test.cpp
@@ -53,7 +53,7 @@
 {
     struct Case {
         const char* header;
-        const char* value; // nullptr: left out.
+        const char* value; // nullptr if the header is left out.
         RefusalType type;
     };
     const Case cases[] = {
@@ -66,7 +66,7 @@
         { "Kumquatpick-Issued", nullptr, RefusalType::MissingKey },
         { "Kumquatpick-Issued", "yesterday", RefusalType::Malformed },
         { "Kumquatpick-Issued", "-5", RefusalType::Malformed },
-        { "Kumquatpick-Issued", "1900000000000", RefusalType::Malformed }, // Three years ahead.
+        { "Kumquatpick-Issued", "1900000000000", RefusalType::Malformed }, // Three years in the future.
         { "Kumquatpick-Attempt", "0", RefusalType::Malformed },
         { "Kumquatpick-Attempt", "-1", RefusalType::Malformed },
         { "Kumquatpick-Attempt", "4294967296", RefusalType::Malformed },
@@ -118,19 +118,19 @@
     ASSERT_TRUE(body);
     EXPECT_TRUE(body->stream);
     EXPECT_EQ(body->prompt, longText + "\nb");
-    EXPECT_EQ(promptPrefixes(body->prompt),
+    EXPECT_EQ(promptPrefixHashes(body->prompt),
         (std::vector<uint64_t> { hash64(longText.substr(0, 256)), hash64(longText.substr(0, 512)) }));
 }
 
-TEST(Request, DeepNestingIsRefusedNotFollowed)
+TEST(Request, DeepNestingIsRefused)
 {
     std::string deep = R"({"model":"m","x":)" + std::string(1'000'000, '[');
     EXPECT_FALSE(parseChatBody(deep));
     EXPECT_FALSE(parseChatBody(deep + std::string(1'000'000, ']') + "}"));
 }
 
-// Whatever comes, one of two things is said, and what passes is fit to be handed on.
-RC_GTEST_PROP(Request, IsValidOrRefusedOnce, ())
+// Any input is either refused or parsed to a request with valid parts.
+RC_GTEST_PROP(Request, IsValidOrRefused, ())
 {
     auto names = rc::gen::element<std::string>("Kumquatpick-Team", "Idempotency-Key", "Kumquatpick-Issued",
         "Kumquatpick-Attempt", "Kumquatpick-Deadline-Ms", "Kumquatpick-Priority", "Kumquatpick-Repeatable",
@@ -157,7 +157,7 @@
     RC_ASSERT(request.body == body);
 }
 
-// However the bytes are cut into pieces: all of them are passed on, and a break never leaves half an event.
+// However a stream is split into pieces, all of its bytes are released, and only at the ends of events.
 RC_GTEST_PROP(SseStream, PassesWholeEventsInAnyPieces, (std::vector<uint8_t> cuts))
 {
     auto events = *rc::gen::container<std::vector<std::string>>(rc::gen::element<std::string>(
@@ -178,11 +178,11 @@
         RC_ASSERT(passed.empty() || passed.ends_with("\n\n") || passed.ends_with("\r\n\r\n"));
         RC_ASSERT(all.starts_with(passed));
     }
-    RC_ASSERT(passed + stream.takeRest() == all);
+    RC_ASSERT(passed + stream.takeRemaining() == all);
     RC_ASSERT(stream.isDone() == done);
 }
 
-TEST(SseStream, DoneInsideOfAnAnswerIsNoEnd)
+TEST(SseStream, DoneInsideEventIsNotTheEnd)
 {
     SseStream stream;
     stream.push("data: {\"text\":\"data: [DONE]\"}\n\n");
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -17,7 +17,7 @@
 
 namespace Kumquatpick {
 
-// What owner and witness of every slot would answer, or what a test lets them answer.
+// Replaces the journals of the owners and witnesses of all slots. Tests can set its answers.
 class FakeJournal {
 public:
     PermitOutcome permit(const RequestKey& key, ArrivalId arrival, const NodeInfo& entry)
@@ -59,7 +59,7 @@
 
     std::optional<PermitAnswer> permitAnswer;
     std::optional<PermitAnswer> voidAnswer;
-    bool loseGrants = false; // Grants are kept, but the answer does not come.
+    bool loseGrants = false; // Grants are recorded, but reported as Undecided.
 
 private:
     std::mutex m_mutex;
@@ -67,7 +67,7 @@
     uint32_t m_voids = 0;
 };
 
-// One node's caller side over real sockets, with fake backends and a journal that nodes may share.
+// The caller server of one node on a real socket, with fake backends and a journal that nodes can share.
 class TestNode {
 public:
     explicit TestNode(uint64_t incarnation = 1, std::shared_ptr<FakeJournal> journal = std::make_shared<FakeJournal>())
@@ -91,7 +91,7 @@
         settings.voidTimeout = Milliseconds(2'000);
     }
 
-    // Replicas of one host each: as many of the model service and of the plain one as there are backends.
+    // Registers one replica of the model service and one of the plain service for each backend, with one host each.
     void start(std::vector<FakeBackend*> backends)
     {
         std::map<Offset, Claim> claims;
@@ -115,18 +115,18 @@
         }
         directory.setClaims(claims);
         directory.setListed(listed);
-        hostsReady(backends.size());
+        reportHostsReady(backends.size());
         admission.configure(text);
         router.setServing("writers", model);
         router.setServing("desk", plain);
         for (const char* service : { "writers", "desk" })
             admission.setCapacity(service, 400, monotonicNow());
-        server = std::make_unique<CallerServer>(settings, collaborators());
+        server = std::make_unique<CallerServer>(settings, makeDependencies());
         ASSERT_EQ(settle([&] { return server->start(); }).index(), 0U);
     }
 
-    // As probes would report them.
-    void hostsReady(size_t count)
+    // Reports the first hosts as ready, as probes would.
+    void reportHostsReady(size_t count)
     {
         for (size_t i = 0; i < count; ++i) {
             EngineStatus status;
@@ -149,7 +149,7 @@
         return made;
     }
 
-    // A chat request that is repeatable unless it has a key.
+    // Headers of a chat request, which is repeatable unless a key is given.
     static httplib::Headers headers(const std::string& key = "", int attempt = 1)
     {
         httplib::Headers result { { "Kumquatpick-Team", "board" } };
@@ -179,7 +179,7 @@
     std::shared_ptr<FakeJournal> journal;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime)> permit;
     std::function<PermitOutcome(const RequestKey&, ArrivalId, MonotonicTime)> makeVoid;
-    std::map<uint64_t, CallerServer*> peers; // By incarnation, for fetched answers.
+    std::map<uint64_t, CallerServer*> peers; // Nodes to fetch answers from, by incarnation.
     Admission admission;
     Router router { 7 };
     RetryBudget retryBudget;
@@ -191,38 +191,38 @@
     std::unique_ptr<CallerServer> server;
 
 private:
-    Collaborators collaborators()
+    CallerDependencies makeDependencies()
     {
-        Collaborators parts { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
+        CallerDependencies dependencies { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
             {}, {}, {}, {}, {}, {}, {}, {} };
-        parts.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
-        parts.permit = permit;
-        parts.makeVoid = makeVoid;
-        parts.mintKey = [](WallTime) { return std::string("minted"); };
-        parts.fetchAnswer = [this](const NodeInfo& node, const std::string& lookup) -> Result<StoredAnswer> {
+        dependencies.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
+        dependencies.permit = permit;
+        dependencies.makeVoid = makeVoid;
+        dependencies.mintKey = [](WallTime) { return std::string("minted"); };
+        dependencies.fetchAnswer = [this](const NodeInfo& node, const std::string& lookup) -> Result<StoredAnswer> {
             auto peer = peers.find(node.id.incarnation);
             if (peer == peers.end())
                 return fail({ ErrorCode::Unreachable, Step::Answer, node.id.name, {} });
             return peer->second->storedAnswer(lookup);
         };
-        parts.text = [this] { return std::make_shared<const OperatorsText>(text); };
-        parts.ready = [this] { return isReady; };
-        parts.entryNodes = [this] { return nodes; };
-        parts.acceptedText = [] { return AcceptedText { 4, "text" }; };
-        parts.publish = [](const PublishRequest& request) {
+        dependencies.text = [this] { return std::make_shared<const OperatorsText>(text); };
+        dependencies.isReady = [this] { return isReady; };
+        dependencies.entryNodes = [this] { return nodes; };
+        dependencies.acceptedText = [] { return AcceptedText { 4, "text" }; };
+        dependencies.publish = [](const PublishRequest& request) {
             if (request.basedOn == 4)
                 return PublishOutcome { PublishOutcome::Kind::Accepted, 5, {} };
             return PublishOutcome { PublishOutcome::Kind::Outdated, 4, {} };
         };
-        parts.status = [] { return nlohmann::json { { "node", "node1" } }; };
-        return parts;
+        dependencies.status = [] { return nlohmann::json { { "node", "node1" } }; };
+        return dependencies;
     }
 };
 
 inline nlohmann::json errorOf(const std::string& body) { return nlohmann::json::parse(body).at("error"); }
 
-// The typed end of a response: "outcome/type".
-inline std::string ending(const httplib::Result& result)
+// The outcome of a response, as "answered" or "outcome/type".
+inline std::string outcomeAndType(const httplib::Result& result)
 {
     if (!result)
         return "no response: " + httplib::to_string(result.error());
