--- a/src/caller/dispatch.cpp
+++ b/src/caller/dispatch.cpp
@@ -61,8 +61,8 @@
         avoid.push_back(std::move(replica));
     for (size_t choice = 0; choice < maxChoices; ++choice) {
         MonotonicTime now = monotonicNow();
-        std::string name
-            = m_dependencies.router.choose({ m_request.service, m_dependencies.self.zone, m_request.prefixHashes, avoid }, now);
+        std::string name = m_dependencies.router.choose(
+            { m_request.service, m_dependencies.self.zone, m_request.prefixHashes, avoid }, now);
         if (name.empty())
             return std::nullopt;
         auto view = m_dependencies.directory.replica(m_request.service, name, now);
@@ -172,7 +172,8 @@
     if (isEventStream(m_head.contentType))
         m_eventStream.emplace();
     while (!m_bodyEnded) {
-        bool enough = m_eventStream ? !m_unsentBody.empty() : m_unsentBody.size() > m_context.settings.bufferedAnswerBytes;
+        bool enough
+            = m_eventStream ? !m_unsentBody.empty() : m_unsentBody.size() > m_context.settings.bufferedAnswerBytes;
         if (enough)
             break;
         BOOST_LEAF_CHECK(waitForBackend());
@@ -199,8 +200,8 @@
 bool RequestHandler::canRetry(const Error& error)
 {
     MonotonicTime now = monotonicNow();
-    return mayRetry(error.code, m_request.repeatable, m_latestTrySent) && m_triedReplicas.size() < maxTries && now < m_deadline
-        && m_dependencies.retryBudget.takeRetry(m_request.service, now);
+    return mayRetry(error.code, m_request.repeatable, m_latestTrySent) && m_triedReplicas.size() < maxTries
+        && now < m_deadline && m_dependencies.retryBudget.takeRetry(m_request.service, now);
 }
 
 // Once one try may have reached a backend server, the outcome is never "not run", whatever later tries do.
--- a/src/caller/outcome.cpp
+++ b/src/caller/outcome.cpp
@@ -121,8 +121,10 @@
     if (answer && answer->phase == StoredAnswer::Phase::Finished)
         return std::move(*answer);
     bool running = answer && answer->phase == StoredAnswer::Phase::Running;
-    Refusal refused = refusal(running ? Outcome::Undecided : Outcome::MayHaveRun, RefusalType::HeldElsewhere,
-        Step::Answer, running ? "the request is running at another node" : "another node holds the permit; its answer is not available");
+    Refusal refused
+        = refusal(running ? Outcome::Undecided : Outcome::MayHaveRun, RefusalType::HeldElsewhere, Step::Answer,
+            running ? "the request is running at another node"
+                    : "another node holds the permit; its answer is not available");
     refused.peer = std::move(peer);
     return refused;
 }
@@ -132,18 +134,17 @@
 RequestHandler::Ending RequestHandler::resolveOwnArrival(const JournalEntry& entry)
 {
     if (!m_context.abandoned.contains(entry.grantedTo.serial))
-        return refusal(
-            Outcome::MayHaveRun, RefusalType::HeldElsewhere, Step::Answer,
+        return refusal(Outcome::MayHaveRun, RefusalType::HeldElsewhere, Step::Answer,
             "the request was dispatched by this node; its answer is not stored");
     RequestKey key = *m_identity.key;
     key.attempt = std::max(key.attempt, entry.grantedAttempt);
-    PermitOutcome outcome = m_dependencies.makeVoid(key, entry.grantedTo, monotonicNow() + m_context.settings.voidTimeout);
+    PermitOutcome outcome
+        = m_dependencies.makeVoid(key, entry.grantedTo, monotonicNow() + m_context.settings.voidTimeout);
     if (outcome.answer == PermitAnswer::Voided)
         return voidedRefusal(outcome.entry);
     if (outcome.answer == PermitAnswer::Expired)
         return expiredRefusal();
-    return refusal(
-        Outcome::Undecided, RefusalType::Undecided, Step::Permit,
+    return refusal(Outcome::Undecided, RefusalType::Undecided, Step::Permit,
         "the permit of an earlier arrival could not be revoked yet");
 }
 
@@ -177,8 +178,8 @@
     m_dependencies.router.ended(m_request.service, m_replica.replica, DispatchEnd::Finished, now);
     m_replica = {};
     if (m_isKeyReserved && m_isStoringBody) {
-        m_context.answers.finish(
-            answerKey(), { StoredAnswer::Phase::Finished, m_head.status, m_head.contentType, std::move(m_storedBody) }, now);
+        m_context.answers.finish(answerKey(),
+            { StoredAnswer::Phase::Finished, m_head.status, m_head.contentType, std::move(m_storedBody) }, now);
         m_isKeyReserved = false;
     }
     finish(name(Outcome::Answered), {}, false);
--- a/src/caller/request.cpp
+++ b/src/caller/request.cpp
@@ -49,7 +49,8 @@
 
     // Returns the fallback if the header is absent and nullopt if it is invalid.
     template <typename Number>
-    std::optional<Number> numberHeaderOr(const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
+    std::optional<Number> numberHeaderOr(
+        const httplib::Headers& headers, const char* name, std::optional<Number> fallback)
     {
         HeaderField header = headerField(headers, name);
         if (!header.present)
@@ -135,7 +136,8 @@
 
     OptionalRefusal readDeadline(const RawRequest& raw, const CallerSettings& settings, CallerRequest& request)
     {
-        auto deadline = numberHeaderOr<int64_t>(raw.headers, "Kumquatpick-Deadline-Ms", settings.defaultDeadline.count());
+        auto deadline
+            = numberHeaderOr<int64_t>(raw.headers, "Kumquatpick-Deadline-Ms", settings.defaultDeadline.count());
         if (!deadline)
             return malformed("Kumquatpick-Deadline-Ms must be a whole number of milliseconds");
         if (*deadline <= 0)
--- a/src/coordination/slotmember.cpp
+++ b/src/coordination/slotmember.cpp
@@ -37,12 +37,14 @@
 
 void SlotMember::handle(const PermitRequest& request, WallTime now, SlotActions& actions)
 {
-    handleRequest({ false, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch, now, actions);
+    handleRequest({ false, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch,
+        now, actions);
 }
 
 void SlotMember::handle(const VoidRequest& request, WallTime now, SlotActions& actions)
 {
-    handleRequest({ true, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch, now, actions);
+    handleRequest({ true, withMintedIssueTime(request.requestKey), request.arrival, request.entryNode }, request.epoch,
+        now, actions);
 }
 
 void SlotMember::handleRequest(const ArrivalRequest& request, uint32_t epoch, WallTime now, SlotActions& actions)
@@ -88,8 +90,9 @@
     const RequestKey& requestKey = request.requestKey;
     if (auto pending = m_pendingSerials.find(requestKey.key); pending != m_pendingSerials.end()) {
         auto& waitingRequests = m_pendingRecords.at(pending->second).waitingRequests;
-        auto isDuplicate
-            = [&](const ArrivalRequest& other) { return other.arrival == request.arrival && other.isVoid == request.isVoid; };
+        auto isDuplicate = [&](const ArrivalRequest& other) {
+            return other.arrival == request.arrival && other.isVoid == request.isVoid;
+        };
         if (std::none_of(waitingRequests.begin(), waitingRequests.end(), isDuplicate))
             waitingRequests.push_back(request);
         return;
@@ -165,7 +168,8 @@
     actions.push_back(SlotSend { m_assignment.witness, std::move(request) });
 }
 
-void SlotMember::reply(const ArrivalRequest& request, PermitAnswer answer, const JournalEntry& entry, SlotActions& actions) const
+void SlotMember::reply(
+    const ArrivalRequest& request, PermitAnswer answer, const JournalEntry& entry, SlotActions& actions) const
 {
     PermitReply reply;
     reply.slot = m_slot;
@@ -260,7 +264,10 @@
     return missing;
 }
 
-NodeId SlotMember::copyKey(const NodeId& proposer) const { return m_guards.copiesKeyedByProposer ? proposer : NodeId {}; }
+NodeId SlotMember::copyKey(const NodeId& proposer) const
+{
+    return m_guards.copiesKeyedByProposer ? proposer : NodeId {};
+}
 
 // Copies are kept apart from the journal until the log decides which proposer's copy the next epoch starts from.
 void SlotMember::handle(const CopyRequest& request, WallTime, SlotActions& actions)
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -354,8 +354,8 @@
 
 CallerDependencies Daemon::Parts::collaborators()
 {
-    CallerDependencies result { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {}, {},
-        {}, {}, {}, {}, {}, {}, {} };
+    CallerDependencies result { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
+        {}, {}, {}, {}, {}, {}, {}, {} };
     result.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
     result.permit = [this](const RequestKey& key, ArrivalId arrival, MonotonicTime deadline) {
         return slots.permit(key, arrival, deadline);
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -193,8 +193,8 @@
 private:
     CallerDependencies makeDependencies()
     {
-        CallerDependencies dependencies { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
-            {}, {}, {}, {}, {}, {}, {}, {} };
+        CallerDependencies dependencies { self, admission, router, retryBudget, suspicion, directory, metrics, traces,
+            {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {} };
         dependencies.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
         dependencies.permit = permit;
         dependencies.makeVoid = makeVoid;
--- a/tests/coordination/slotproperty_test.cpp
+++ b/tests/coordination/slotproperty_test.cpp
@@ -310,8 +310,9 @@
 TEST(SlotProperty, RandomStepsDetectDisabledGuards)
 {
     for (auto guard : { &SlotGuards::grantWaitsForWitness, &SlotGuards::voidWaitsForWitness,
-             &SlotGuards::voidedAttemptsAreRefused, &SlotGuards::onlyHolderVoidsGrant, &SlotGuards::cancelledArrivalIgnoresGrant,
-             &SlotGuards::membersMatchByIncarnation, &SlotGuards::keysBeforeResetExpire, &SlotGuards::sealedOwnerGivesNoVerdict }) {
+             &SlotGuards::voidedAttemptsAreRefused, &SlotGuards::onlyHolderVoidsGrant,
+             &SlotGuards::cancelledArrivalIgnoresGrant, &SlotGuards::membersMatchByIncarnation,
+             &SlotGuards::keysBeforeResetExpire, &SlotGuards::sealedOwnerGivesNoVerdict }) {
         SlotGuards guards;
         guards.*guard = false;
         uint64_t seed = 1;
