--- a/src/weights/client.cpp
+++ b/src/weights/client.cpp
@@ -31,7 +31,8 @@
 {
 }
 
-// The library's timeouts are for single reads; the receiver ends an answer that trickles in.
+// The timeouts of cpp-httplib apply to each single read. The content receiver therefore checks the deadline of the
+// whole request too, and aborts a response that arrives too slowly.
 Result<WeightStoreLoad> WeightStoreClient::load(Milliseconds timeout) const
 {
     MonotonicTime deadline = monotonicNow() + timeout;
--- a/src/weights/client.h
+++ b/src/weights/client.h
@@ -7,12 +7,13 @@
 
 namespace Kumquatpick {
 
-// Asks the weight store how busy it is. The weights themselves go to the engines. Thread-safe.
+// Reads the current load of the weight store. It does not transfer weights: engines read them directly from the store.
+// Thread-safe.
 class WeightStoreClient {
 public:
     explicit WeightStoreClient(Address);
 
-    // Blocks up to the timeout; fails with Unreachable, BrokenOff, Refused or Malformed.
+    // Blocks for at most the timeout. Fails with Unreachable, BrokenOff, Refused or Malformed.
     Result<WeightStoreLoad> load(Milliseconds timeout) const;
 
 private:
--- a/src/weights/loadpacing.cpp
+++ b/src/weights/loadpacing.cpp
@@ -8,7 +8,7 @@
 
     uint64_t dividedUp(uint64_t value, uint64_t by) { return value / by + (value % by != 0 ? 1 : 0); }
 
-    // Readers that together take all that the store gives.
+    // Returns the number of readers that together use the full rate of the store.
     uint64_t readersWanted(const WeightStoreLoad& load, const LoadPlan& plan)
     {
         if (plan.hostBytesPerSecond == 0)
--- a/src/weights/loadpacing.h
+++ b/src/weights/loadpacing.h
@@ -4,26 +4,28 @@
 
 namespace Kumquatpick {
 
-// The weight store's own word about itself.
+// The load that the weight store reports.
 struct WeightStoreLoad {
-    uint64_t bytesPerSecond = 0; // Shared by all readers.
+    uint64_t bytesPerSecond = 0; // Total read rate of the store, shared by all readers.
     uint32_t readers = 0;
 };
 
 struct LoadPlan {
-    uint32_t hostsPerReplica = 1; // Each reads for itself.
-    uint64_t hostBytesPerSecond = 0; // What one host can take at most; 0 if unknown.
-    uint32_t waiting = 0; // Replicas whose loads could start.
-    uint32_t running = 0; // Replicas of ours whose loads run, those started since the report included.
-    uint32_t startedSinceReport = 0; // Replicas whose loads began after the store was asked.
+    uint32_t hostsPerReplica = 1; // Each host of a replica is a separate reader.
+    uint64_t hostBytesPerSecond = 0; // Maximum read rate of one host; 0 if unknown.
+    uint32_t waiting = 0; // Replicas whose loads are ready to start.
+    uint32_t running = 0; // The caller's replicas that are loading, including those started since the report.
+    uint32_t startedSinceReport = 0; // Replicas whose loads started after the load report was requested.
 };
 
-// How many more replicas' loads to start now.
+// Returns the number of additional replicas whose loads should start now.
 //
-// Loads share a fixed rate: one after the other the first replica serves early, and the mean wait is about
-// half of what it is if all share. As many run at once as it takes to use the whole rate, and one of ours always
-// runs, however many others read. Where hosts are slower than the store, the last replica may be later than if
-// all had shared, by at most the time in which one host reads its weights alone.
+// All loads share the fixed rate of the store. If replicas load one after the other, the first ones serve early, and
+// the mean time until a replica serves is about half of that with all loads at once. Only as many loads run
+// concurrently as are needed to use the full rate of the store. At least one load of the caller runs as long as any is
+// waiting, regardless of the number of other readers. If hosts read more slowly than the store can send, the last
+// replica may serve later than with all loads at once, by at most the time that one host needs to read its weights
+// alone.
 uint32_t loadsToStart(const WeightStoreLoad&, const LoadPlan&);
 
 } // namespace Kumquatpick
--- a/tests/weights/client_test.cpp
+++ b/tests/weights/client_test.cpp
@@ -18,6 +18,7 @@
 
 }
 
+// Unreadable bodies, refusals and an unreachable store must be reported with different error codes.
 TEST(WeightStoreClient, ReadsTheLoadAndTellsWhyItCannot)
 {
     FakeServer store;
--- a/tests/weights/loadpacing_test.cpp
+++ b/tests/weights/loadpacing_test.cpp
@@ -12,19 +12,20 @@
 
     struct Fleet {
         uint32_t replicas = 1;
-        uint32_t hosts = 1; // Of each replica.
-        double bytes = 1; // That each host reads.
-        double storeRate = 1; // Bytes a second, shared by all readers alike.
-        double hostRate = 1; // What one host can take.
-        double reportPeriod = 1; // Seconds between two looks at the store.
+        uint32_t hosts = 1; // Number of hosts per replica.
+        double bytes = 1; // Number of bytes that each host reads.
+        double storeRate = 1; // Bytes per second, shared equally by all readers.
+        double hostRate = 1; // Maximum bytes per second of one host.
+        double reportPeriod = 1; // Seconds between two load reports of the store.
     };
 
     struct Outcome {
-        double meanSeconds = 0; // Until a replica serves.
-        double lastSeconds = 0;
+        double meanSeconds = 0; // Mean time until a replica serves.
+        double lastSeconds = 0; // Time until the last replica serves.
     };
 
-    // Event time: between two events each running host reads at the same rate. A replica serves when it has read all.
+    // Event-driven simulation: between two events all loading hosts read at the same rate. A replica serves when its
+    // hosts have read all their bytes.
     Outcome simulate(const Fleet& fleet, bool paced)
     {
         std::vector<double> left(fleet.replicas, fleet.bytes);
@@ -62,8 +63,9 @@
 
 }
 
-// A domain comes back: twelve replicas of eight hosts, 100 GB a host, 40 GB a second from the store, 5 GB a second
-// to a host, a look a second.
+// A fault domain recovers and its twelve replicas load their weights: eight hosts per replica, 100 GB per host, 40 GB/s
+// from the store, at most 5 GB/s per host, one load report per second. With all loads at once, every replica would
+// serve only after 240 s.
 TEST(LoadPacing, ReplicasServeSoonerOneAfterTheOther)
 {
     Fleet fleet { 12, 8, 100e9, 40e9, 5e9, 1 };
@@ -78,6 +80,8 @@
     EXPECT_NEAR(paced.lastSeconds, 240, 1);
 }
 
+// Pacing must not increase the mean time until a replica serves, and may delay the last replica only by the time that
+// one host reads alone and by late load reports.
 RC_GTEST_PROP(LoadPacing, ServesSoonerInTheMeanAndTheLastLittleLater, ())
 {
     Fleet fleet;
@@ -89,14 +93,16 @@
     fleet.reportPeriod = 0.1;
     Outcome atOnce = simulate(fleet, false);
     Outcome paced = simulate(fleet, true);
-    // Each wave may end just after a look at the store.
+    // Each batch of loads may end just after a load report, and the next one then starts a report period later.
     double lateReports = fleet.replicas * fleet.reportPeriod;
     RC_ASSERT(paced.meanSeconds <= atOnce.meanSeconds * 1.01 + lateReports);
-    // The last wave may be one host alone that can't take the whole rate.
+    // The last batch may be a single host that can't use the full rate of the store.
     double aloneSeconds = fleet.bytes / fleet.hostRate;
     RC_ASSERT(paced.lastSeconds <= atOnce.lastSeconds * 1.01 + aloneSeconds + lateReports);
 }
 
+// Starts no more loads than are waiting, and at least one if some are waiting and none is running, whatever the report
+// contains.
 RC_GTEST_PROP(
     LoadPacing, StartsNoMoreThanWaitAndNeverStandsStill, (uint32_t readers, uint32_t waiting, uint32_t running))
 {
@@ -106,6 +112,8 @@
     RC_ASSERT(running > 0 || waiting == 0 || started > 0);
 }
 
+// A load that started after the report was requested is missing from the report's reader count. If it were not counted,
+// more loads would start than are needed to use the full rate of the store.
 TEST(LoadPacing, CountsLoadsThatTheReportDoesNotShowYet)
 {
     LoadPlan plan { 8, 5, 10, 1, 0 };
