--- a/src/weights/client.cpp
+++ b/src/weights/client.cpp
@@ -11,14 +11,14 @@
 namespace {
 
     constexpr int httpOk = 200;
-    constexpr size_t largestBody = 64 << 10;
+    constexpr size_t maxBodyBytes = 64 << 10;
 
     Error loadError(ErrorCode code, const Address& address, std::string detail)
     {
         return { code, Step::WeightRead, address.toString(), std::move(detail) };
     }
 
-    ErrorCode codeOf(httplib::Error error)
+    ErrorCode errorCodeOf(httplib::Error error)
     {
         bool isUnreachable = error == httplib::Error::Connection || error == httplib::Error::ConnectionTimeout;
         return isUnreachable ? ErrorCode::Unreachable : ErrorCode::BrokenOff;
@@ -33,26 +33,26 @@
 
 // The timeouts of cpp-httplib apply to each single read. The content receiver therefore checks the deadline of the
 // whole request too, and aborts a response that arrives too slowly.
-Result<WeightStoreLoad> WeightStoreClient::load(Milliseconds timeout) const
+Result<WeightStoreLoad> WeightStoreClient::readLoad(Milliseconds timeout) const
 {
     MonotonicTime deadline = monotonicNow() + timeout;
     httplib::Client client(m_address.ip, m_address.port);
     client.set_connection_timeout(timeout);
     client.set_read_timeout(timeout);
     std::string body;
-    auto answer = client.Get("/v1/load", { { "Accept-Encoding", "identity" } }, [&](const char* bytes, size_t size) {
+    auto response = client.Get("/v1/load", { { "Accept-Encoding", "identity" } }, [&](const char* bytes, size_t size) {
         body.append(bytes, size);
-        return body.size() <= largestBody && monotonicNow() < deadline;
+        return body.size() <= maxBodyBytes && monotonicNow() < deadline;
     });
-    if (!answer)
-        return fail(loadError(codeOf(answer.error()), m_address, httplib::to_string(answer.error())));
-    if (answer->status != httpOk)
-        return fail(loadError(ErrorCode::Refused, m_address, fmt::format("HTTP status {}", answer->status)));
+    if (!response)
+        return fail(loadError(errorCodeOf(response.error()), m_address, httplib::to_string(response.error())));
+    if (response->status != httpOk)
+        return fail(loadError(ErrorCode::Refused, m_address, fmt::format("HTTP status {}", response->status)));
     try {
-        auto page = nlohmann::json::parse(body);
-        return WeightStoreLoad { page.at("bytes_per_second").get<uint64_t>(), page.at("readers").get<uint32_t>() };
-    } catch (const std::exception& fault) {
-        return fail(loadError(ErrorCode::Malformed, m_address, fault.what()));
+        auto report = nlohmann::json::parse(body);
+        return WeightStoreLoad { report.at("bytes_per_second").get<uint64_t>(), report.at("readers").get<uint32_t>() };
+    } catch (const std::exception& parseError) {
+        return fail(loadError(ErrorCode::Malformed, m_address, parseError.what()));
     }
 }
 
--- a/src/weights/client.h
+++ b/src/weights/client.h
@@ -14,7 +14,7 @@
     explicit WeightStoreClient(Address);
 
     // Blocks for at most the timeout. Fails with Unreachable, BrokenOff, Refused or Malformed.
-    Result<WeightStoreLoad> load(Milliseconds timeout) const;
+    Result<WeightStoreLoad> readLoad(Milliseconds timeout) const;
 
 private:
     Address m_address;
--- a/src/weights/loadpacing.cpp
+++ b/src/weights/loadpacing.cpp
@@ -6,27 +6,30 @@
 
 namespace {
 
-    uint64_t dividedUp(uint64_t value, uint64_t by) { return value / by + (value % by != 0 ? 1 : 0); }
+    uint64_t divideRoundingUp(uint64_t value, uint64_t divisor)
+    {
+        return value / divisor + (value % divisor != 0 ? 1 : 0);
+    }
 
     // Returns the number of readers that together use the full rate of the store.
-    uint64_t readersWanted(const WeightStoreLoad& load, const LoadPlan& plan)
+    uint64_t readersForFullRate(const WeightStoreLoad& load, const LoadingState& state)
     {
-        if (plan.hostBytesPerSecond == 0)
+        if (state.hostBytesPerSecond == 0)
             return 1;
-        return std::max<uint64_t>(1, dividedUp(load.bytesPerSecond, plan.hostBytesPerSecond));
+        return std::max<uint64_t>(1, divideRoundingUp(load.bytesPerSecond, state.hostBytesPerSecond));
     }
 
 }
 
-uint32_t loadsToStart(const WeightStoreLoad& load, const LoadPlan& plan)
+uint32_t loadsToStart(const WeightStoreLoad& load, const LoadingState& state)
 {
-    uint64_t hosts = std::max<uint64_t>(1, plan.hostsPerReplica);
-    uint64_t readers = load.readers + plan.startedSinceReport * hosts;
-    uint64_t wanted = readersWanted(load, plan);
-    uint64_t toStart = readers < wanted ? dividedUp(wanted - readers, hosts) : 0;
-    if (plan.running == 0)
+    uint64_t hosts = std::max<uint64_t>(1, state.hostsPerReplica);
+    uint64_t readers = load.readers + state.startedSinceReport * hosts;
+    uint64_t neededReaders = readersForFullRate(load, state);
+    uint64_t toStart = readers < neededReaders ? divideRoundingUp(neededReaders - readers, hosts) : 0;
+    if (state.runningLoads == 0)
         toStart = std::max<uint64_t>(1, toStart);
-    return static_cast<uint32_t>(std::min<uint64_t>(plan.waiting, toStart));
+    return static_cast<uint32_t>(std::min<uint64_t>(state.waitingLoads, toStart));
 }
 
 } // namespace Kumquatpick
--- a/src/weights/loadpacing.h
+++ b/src/weights/loadpacing.h
@@ -10,11 +10,11 @@
     uint32_t readers = 0;
 };
 
-struct LoadPlan {
+struct LoadingState {
     uint32_t hostsPerReplica = 1; // Each host of a replica is a separate reader.
     uint64_t hostBytesPerSecond = 0; // Maximum read rate of one host; 0 if unknown.
-    uint32_t waiting = 0; // Replicas whose loads are ready to start.
-    uint32_t running = 0; // The caller's replicas that are loading, including those started since the report.
+    uint32_t waitingLoads = 0; // Replicas whose loads are ready to start.
+    uint32_t runningLoads = 0; // The caller's replicas that are loading, including those started since the report.
     uint32_t startedSinceReport = 0; // Replicas whose loads started after the load report was requested.
 };
 
@@ -26,6 +26,6 @@
 // waiting, regardless of the number of other readers. If hosts read more slowly than the store can send, the last
 // replica may serve later than with all loads at once, by at most the time that one host needs to read its weights
 // alone.
-uint32_t loadsToStart(const WeightStoreLoad&, const LoadPlan&);
+uint32_t loadsToStart(const WeightStoreLoad&, const LoadingState&);
 
 } // namespace Kumquatpick
--- a/tests/weights/client_test.cpp
+++ b/tests/weights/client_test.cpp
@@ -10,31 +10,31 @@
 
     using namespace std::chrono_literals;
 
-    ErrorCode errorCode(const Address& address)
+    ErrorCode loadErrorCode(const Address& address)
     {
-        auto settled = settle([&] { return WeightStoreClient(address).load(10s); });
-        return settled.index() == 1 ? std::get<1>(settled).code : ErrorCode::Internal;
+        auto result = settle([&] { return WeightStoreClient(address).readLoad(10s); });
+        return result.index() == 1 ? std::get<1>(result).code : ErrorCode::Internal;
     }
 
 }
 
 // Unreadable bodies, refusals and an unreachable store must be reported with different error codes.
-TEST(WeightStoreClient, ReadsTheLoadAndTellsWhyItCannot)
+TEST(WeightStoreClient, ReadsLoadAndReportsErrors)
 {
     FakeServer store;
     store.answer(200, R"({"bytes_per_second":1000,"readers":3})");
-    auto settled = settle([&] { return WeightStoreClient(store.address()).load(10s); });
-    ASSERT_EQ(settled.index(), 0U);
-    EXPECT_EQ(std::get<0>(settled).bytesPerSecond, 1000U);
-    EXPECT_EQ(std::get<0>(settled).readers, 3U);
+    auto result = settle([&] { return WeightStoreClient(store.address()).readLoad(10s); });
+    ASSERT_EQ(result.index(), 0U);
+    EXPECT_EQ(std::get<0>(result).bytesPerSecond, 1000U);
+    EXPECT_EQ(std::get<0>(result).readers, 3U);
     for (const char* body : { "", "[]", R"({"bytes_per_second":"much","readers":3})", R"({"readers":3})" }) {
         store.answer(200, body);
-        EXPECT_EQ(errorCode(store.address()), ErrorCode::Malformed) << body;
+        EXPECT_EQ(loadErrorCode(store.address()), ErrorCode::Malformed) << body;
     }
     store.answer(503, "{}");
-    EXPECT_EQ(errorCode(store.address()), ErrorCode::Refused);
+    EXPECT_EQ(loadErrorCode(store.address()), ErrorCode::Refused);
     store.stop();
-    EXPECT_EQ(errorCode(store.address()), ErrorCode::Unreachable);
+    EXPECT_EQ(loadErrorCode(store.address()), ErrorCode::Unreachable);
 }
 
 } // namespace Kumquatpick
