--- a/src/daemon/configview.cpp
+++ b/src/daemon/configview.cpp
@@ -17,7 +17,7 @@
         return;
     m_accepted = { config->version, config->text };
     m_parsed = std::make_shared<OperatorsText>(config->parsed);
-    // Under the lock, so that listeners hear of versions in their order.
+    // The listener is called under the lock, so that it receives the versions in increasing order.
     if (m_listener)
         m_listener(*m_parsed);
 }
--- a/src/daemon/configview.h
+++ b/src/daemon/configview.h
@@ -9,14 +9,16 @@
 
 namespace Kumquatpick {
 
-// The accepted operators' text as the whole node sees it. Only ever goes forward. Thread-safe.
+// Holds the newest accepted version of the operators' text that this node has read. The version never decreases.
+// Thread-safe.
 class ConfigView {
 public:
-    // Called with each newer text, on the thread that brought it.
+    // Called with each newer text, on the thread that calls update() and with the lock held, so a listener must not
+    // call back into this object.
     using Listener = std::function<void(const OperatorsText&)>;
 
     void listen(Listener);
-    // Older versions than the present one are ignored.
+    // Ignores a null pointer and any version that is not newer than the current one.
     void update(const AcceptedConfig*);
 
     std::shared_ptr<const OperatorsText> text() const;
--- a/src/daemon/controllerloop.cpp
+++ b/src/daemon/controllerloop.cpp
@@ -127,7 +127,7 @@
         action);
 }
 
-// What a proposal leads to shows in the state; a lost answer needs no repair here.
+// Ignores the verdict: the next round reads the resulting state, so a lost answer needs no handling here.
 void ControllerLoop::propose(RecordBody body)
 {
     Record record { randomHex128(m_random), std::move(body) };
@@ -138,7 +138,7 @@
     }
     auto settled = settle([&] { return m_appender.propose(record, now + settleTimeout); });
     if (auto* error = std::get_if<Error>(&settled))
-        logError("controller's proposal is undecided", *error);
+        logError("controller proposal has no known verdict", *error);
 }
 
 std::optional<Address> ControllerLoop::addressOf(const std::string& host) const
@@ -160,8 +160,9 @@
     return addresses;
 }
 
-// One order at a time to a host, so that orders of one issuer can't overtake each other. A load needs to know
-// every peer; an unload often comes because one of them is gone.
+// Sends at most one order at a time to each host, so that orders from this node can't overtake each other. A load
+// order needs the address of every peer. An unload order is sent without them, because it is often caused by the loss
+// of a peer.
 void ControllerLoop::sendLater(const HostOrder& order)
 {
     auto address = addressOf(order.host);
@@ -189,13 +190,13 @@
     auto engine = engineOrder(order, std::move(peers), m_settings.weightStore);
     auto answer = settle([&] { return sendOrder(address, engine, m_settings.orderTimeout); });
     if (auto* error = std::get_if<Error>(&answer)) {
-        logError("order failed", *error);
+        logError("engine order failed", *error);
         return;
     }
     const auto& status = std::get<EngineStatus>(answer);
     m_hosts.probed(status);
     m_directory.probed(status);
-    logLine(LogLevel::Info, "order obeyed",
+    logLine(LogLevel::Info, "engine accepted order",
         { { "step", name(Step::Order) }, { "peer", address.toString() }, { "host", order.host },
             { "claim", order.claim }, { "kind", order.kind == HostOrder::Kind::Load ? "load" : "unload" } });
 }
--- a/src/daemon/controllerloop.h
+++ b/src/daemon/controllerloop.h
@@ -16,8 +16,8 @@
 
 namespace Kumquatpick {
 
-// Carries out reconcile()'s decisions: one thread that proposes, and a few that send orders. Every node
-// has one; only the holder of the lease acts.
+// Calls reconcile() periodically and carries out its actions: one thread appends proposals to the log, and a small
+// pool of threads sends orders to hosts. Every node runs this loop, but only the lease holder gets any actions.
 class ControllerLoop {
 public:
     struct Settings {
@@ -31,12 +31,12 @@
     ControllerLoop(NodeId self, Settings, LogReader&, LogAppender&, ReplicaDirectory&, HostTracker&);
     ~ControllerLoop();
 
-    // From the log reader's thread.
+    // Called on the log reader's thread.
     void folded(const FoldedRecord&, MonotonicTime readAt);
     void restored(const State&, MonotonicTime readAt);
 
     void start();
-    // No orders and proposals leave after this.
+    // Waits for orders in progress; no order or proposal is sent after this returns.
     void stop();
 
     bool holdsLease() const;
@@ -57,14 +57,14 @@
     LogAppender& m_appender;
     ReplicaDirectory& m_directory;
     HostTracker& m_hosts;
-    Random m_random; // Used by the thread only.
+    Random m_random; // Used by m_thread only.
 
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     bool m_stopping = false;
     LeaseTracker m_lease;
     EndedClaims m_ended;
-    std::set<std::string> m_ordering; // Hosts with an order on its way.
+    std::set<std::string> m_ordering; // Hosts with an order in progress.
 
     tbb::task_arena m_orders;
     std::thread m_thread;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-    // Callers keep an address for the time to live of /v1/entries; until then they may still come.
+    // Callers cache addresses for the time to live of a /v1/entries answer, so new requests may arrive until then.
     constexpr Milliseconds entriesTimeToLive { 5'000 };
     constexpr Milliseconds handOverLimit { 10'000 };
     constexpr Milliseconds handOverCheck { 50 };
     constexpr std::chrono::hours unlimited { 24 };
 
-    // Peers take the larger one for the later life, so it grows with the time of start; the low bits keep apart
-    // two processes that start in the same millisecond.
+    // Peers treat the larger incarnation as the newer process, so the start time is in the high bits. The random low
+    // bits distinguish two processes that start in the same millisecond.
     uint64_t freshIncarnation()
     {
         constexpr unsigned randomBits = 20;
@@ -35,7 +35,7 @@
         return info;
     }
 
-    // Waits for a condition that nobody announces, checking it now and then.
+    // Polls a condition that has no notification, until it holds or the deadline passes.
     template <typename Condition> bool waitFor(Condition&& condition, MonotonicTime deadline)
     {
         std::mutex mutex;
@@ -71,11 +71,11 @@
 
 const Address& Daemon::peerAddress() const { return m_parts->self.peerAddress; }
 
-// A node that is the last one of its deployment can hand its slots to nobody, so that is waited for only so long.
+// The last node of a deployment has no other node to hand its slots to, so the handover has a time limit.
 bool Daemon::stop()
 {
     Parts& parts = *m_parts;
-    logLine(LogLevel::Info, "stop begins", { { "step", name(Step::Stop) } });
+    logLine(LogLevel::Info, "shutdown started", { { "step", name(Step::Stop) } });
     parts.stopping = true;
     parts.cluster.nudge();
     waitFor([] { return false; }, monotonicNow() + entriesTimeToLive);
@@ -86,7 +86,7 @@
     parts.controller.stop();
     bool handedOver
         = waitFor([&] { return parts.slots.handOver(parts.cluster.liveNodes()); }, monotonicNow() + handOverLimit);
-    logLine(LogLevel::Info, "stop ends",
+    logLine(LogLevel::Info, "shutdown finished",
         { { "step", name(Step::Stop) }, { "cut_off", !isWhole }, { "slots_handed_over", handedOver } });
     return isWhole;
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -7,7 +7,7 @@
 
 namespace Kumquatpick {
 
-// One node: its parts, put together in the order in which they need each other.
+// One node of the deployment. Constructs and starts the components in the order of their dependencies.
 class Daemon {
 public:
     // Fails with InvalidArgument if an address can't be bound.
@@ -17,8 +17,8 @@
     const Address& callerAddress() const;
     const Address& peerAddress() const;
 
-    // A planned stop: leaves the answers to /v1/entries, serves on until callers had time to ask anew, finishes what
-    // is in flight and hands its slots over. True if no request was cut off.
+    // Shuts down gracefully: removes this node from /v1/entries, keeps serving until callers have refreshed their
+    // entry lists, finishes the requests in flight and hands its slots over. Returns true if no request was cut off.
     bool stop();
 
 private:
--- a/src/daemon/hosttracker.h
+++ b/src/daemon/hosttracker.h
@@ -9,7 +9,7 @@
 
 namespace Kumquatpick {
 
-// The controller's HostRegistry, fed by the list's, the probes' and the orders' threads. Thread-safe.
+// Thread-safe wrapper of the controller's HostRegistry, which the membership, prober and order threads update.
 class HostTracker {
 public:
     void listed(std::span<const ListedHost>, MonotonicTime now);
@@ -17,7 +17,7 @@
     void unanswered(std::string_view host, MonotonicTime now);
     void ordered(std::string_view host, Offset claim, MonotonicTime now);
 
-    // A copy, as a decision must not change under its reader.
+    // Returns a copy, so that one controller round works on unchanging data.
     HostRegistry registry() const;
 
 private:
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -103,8 +103,8 @@
 {
 }
 
-// Who calls into others goes before them. The callers' server was drained by then; it goes after the threads that
-// ask it how much is in flight and what answers it keeps.
+// Components that call others are stopped before those. The caller-facing server was drained before; it is destroyed
+// after the threads that query its requests in flight and its stored answers.
 Daemon::Parts::~Parts()
 {
     subscriptions.clear();
@@ -127,7 +127,7 @@
     callers = std::make_unique<CallerServer>(callerSettings(settings), collaborators());
     BOOST_LEAF_ASSIGN(transport, NodeTransport::start(self, std::move(handlers)));
     openTransport = transport.get();
-    // First of those with threads: the log and the list have things to tell it.
+    // Started before the other components that have threads, as the log reader and the membership client call it.
     cluster.start(*transport);
 
     config.listen([this](const OperatorsText& text) { configChanged(text); });
@@ -201,7 +201,7 @@
 void Daemon::Parts::configChanged(const OperatorsText& text)
 {
     admission.configure(text);
-    logLine(LogLevel::Info, "operators' text in force", { { "deployment", text.deployment } });
+    logLine(LogLevel::Info, "operators' text applied", { { "deployment", text.deployment } });
 }
 
 void Daemon::Parts::listChanged(const MembershipSnapshot& list)
@@ -211,7 +211,8 @@
     refreshTargets();
 }
 
-// Absence from the list counts only over repeated readings, so the same list is told again when it was read again.
+// The cluster view treats a node as absent only after repeated readings, so an unchanged list is passed on again each
+// time it is read.
 void Daemon::Parts::listRead()
 {
     auto list = membership->snapshot();
@@ -224,17 +225,18 @@
     cluster.setListed(std::move(entries));
 }
 
-// Another process runs under this node's name: peers believe that one, and take this one for dead.
+// A newer process runs under this node's name. Peers accept the newer incarnation and treat this one as dead.
 void Daemon::Parts::stopIfReplaced()
 {
     if (stopping || !cluster.replaced())
         return;
-    logLine(LogLevel::Error, "a newer process has this node's name; stopping", { { "name", self.id.name } });
+    logLine(LogLevel::Error, "a newer process runs under this node's name; stopping", { { "name", self.id.name } });
     stopping = true;
-    kill(getpid(), SIGTERM); // To the process, where sigwait() takes it; not to this thread.
+    kill(getpid(), SIGTERM); // Sent to the process, whose main thread takes it with sigwait(); raise() would signal
+                             // only this thread.
 }
 
-// Every listed host is probed, claimed or not: the controller needs to know what runs on the free ones.
+// Probes every listed host, claimed or not, because the controller needs the engine state of free hosts too.
 void Daemon::Parts::refreshTargets()
 {
     std::set<std::string> leaders;
@@ -334,7 +336,7 @@
     auto outcome = publishText(appender, config.version(), request, monotonicNow() + publishTimeout);
     if (outcome.kind == PublishOutcome::Kind::Accepted)
         cluster.nudge();
-    // The version before the proposal is not what it lost to.
+    // The version read before the proposal may be older than the one that the proposal lost to.
     if (outcome.kind == PublishOutcome::Kind::Outdated) {
         reader.withState([&](const State& state) { config.update(state.config()); });
         outcome.version = config.version();
--- a/src/daemon/parts.h
+++ b/src/daemon/parts.h
@@ -34,16 +34,16 @@
 
 namespace Kumquatpick {
 
-// All parts of a node and the wires between them. Members are in the order of construction: each one uses
-// only those above it, and the threads of the lower ones end first.
+// All components of a node and the callbacks that connect them. Members are in the order of construction: each uses
+// only those declared above it, and the threads of later members end first.
 struct Daemon::Parts {
     Parts(const DaemonSettings&, NodeInfo self);
     ~Parts();
 
-    // Starts what has threads; fails with InvalidArgument if an address can't be bound.
+    // Starts all components that have threads. Fails with InvalidArgument if an address can't be bound.
     Result<void> start();
 
-    // Wires: who calls them stands in parts.cpp where they are handed out.
+    // Callbacks of the components; the constructor, start() and collaborators() register them.
     void folded(const FoldedRecord&, MonotonicTime readAt);
     void restored(MonotonicTime readAt);
     void configChanged(const OperatorsText&);
@@ -70,7 +70,7 @@
     NodeInfo self;
     std::atomic<bool> stopping { false };
 
-    // Orders wait for engines, so there are more of them at once than processors.
+    // Order threads mostly wait for engines, so the limit is higher than the number of processors.
     tbb::global_control orderThreads { tbb::global_control::max_allowed_parallelism, 32 };
     Metrics metrics;
     TraceExporter traces;
@@ -93,7 +93,9 @@
     SlotService slots;
     ClusterView cluster;
     std::unique_ptr<NodeTransport> transport;
-    std::atomic<NodeTransport*> openTransport { nullptr }; // Peers may be served before start() has kept the above.
+    std::atomic<NodeTransport*> openTransport {
+        nullptr
+    }; // Set by start(). Peer messages may arrive before `transport` is assigned.
     Prober prober;
     std::unique_ptr<CallerServer> callers;
 
@@ -101,10 +103,11 @@
     std::map<std::string, uint32_t> othersRunning; // By service.
 
     std::mutex membersMutex;
-    std::vector<NodeId> slotMembers; // Owners and witnesses named by the log.
+    std::vector<NodeId> slotMembers; // Owners and witnesses of all slots in the folded log.
 
     std::unique_ptr<MembershipClient> membership;
-    MonotonicTime listReadAt {}; // Of the list that the cluster view was told last; the timer's thread only.
+    MonotonicTime
+        listReadAt {}; // Read time of the list last passed to the cluster view; used by the timer thread only.
     std::vector<TimerService::Subscription> subscriptions;
 };
 
--- a/src/daemon/proposalqueue.cpp
+++ b/src/daemon/proposalqueue.cpp
@@ -51,7 +51,7 @@
         lock.unlock();
         auto settled = settle([&] { return m_appender.propose(record, monotonicNow() + settleTimeout); });
         if (auto* error = std::get_if<Error>(&settled))
-            logError("proposal is undecided", *error);
+            logError("queued proposal has no known verdict", *error);
         lock.lock();
     }
 }
--- a/src/daemon/proposalqueue.h
+++ b/src/daemon/proposalqueue.h
@@ -13,21 +13,21 @@
 
 class LogAppender;
 
-// Appends proposals of parts that must not block, one after another on a thread of its own. A proposal that
-// can't be settled is dropped: who made it looks at the state and proposes again.
+// Appends proposals for components that must not block, one after another on its own thread. A proposal whose verdict
+// can't be learnt is dropped: its proposer checks the state and proposes again.
 class ProposalQueue {
 public:
     explicit ProposalQueue(LogAppender&);
     ~ProposalQueue();
 
-    // False if the backlog is full; the proposal is dropped then.
+    // Returns false and drops the proposal if the queue is full.
     bool push(RecordBody);
 
 private:
     void run();
 
     LogAppender& m_appender;
-    Random m_random; // Used by the thread only.
+    Random m_random; // Used by m_thread only.
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::deque<RecordBody> m_waiting;
--- a/src/daemon/routingfeed.h
+++ b/src/daemon/routingfeed.h
@@ -11,14 +11,15 @@
 class Admission;
 class Router;
 
-// What is in flight, by service.
+// Requests in flight, by service.
 struct FleetUse {
-    const std::map<std::string, uint32_t>& othersRunning; // At other nodes, by their latest digests.
+    const std::map<std::string, uint32_t>& othersRunning; // At other nodes, from their latest digests.
     const std::map<std::string, uint32_t>& ownRunning;
-    uint32_t nodes = 1; // Those that take requests, this one included.
+    uint32_t nodes = 1; // Live nodes that are not stopping, this one included.
 };
 
-// Hands the replicas that serve now to the router, and their room to admission, service by service.
+// For each service, passes the replicas that are serving to the router, and this node's share of their streams to
+// admission control.
 class RoutingFeed {
 public:
     RoutingFeed(ReplicaDirectory&, Router&, Admission&);
--- a/src/daemon/snapshotloop.cpp
+++ b/src/daemon/snapshotloop.cpp
@@ -69,7 +69,7 @@
     auto random = seededFromSystem();
     auto appended = settle([&] { return m_appender.appendSnapshot(random, monotonicNow() + appendTimeout); });
     if (auto* error = std::get_if<Error>(&appended))
-        logError("snapshot failed", *error);
+        logError("appending a snapshot failed", *error);
 }
 
 } // namespace Kumquatpick
--- a/src/daemon/snapshotloop.h
+++ b/src/daemon/snapshotloop.h
@@ -12,14 +12,16 @@
 class LogAppender;
 class LogReader;
 
-// Keeps a snapshot of the agreed state in the log that is younger than the log's retention.
+// Periodically checks whether a snapshot of the replicated state is due, and appends it before the records that a new
+// reader needs exceed the log's retention.
 class SnapshotLoop {
 public:
     struct Settings {
         Milliseconds period { 5'000 };
         Milliseconds retention {};
-        uint64_t everyRecords = 0; // Appended after so many records, if not due by age before.
-        double spread = 0; // 0..1, of this node.
+        uint64_t everyRecords
+            = 0; // The lease holder appends a snapshot after this many records, if none was due earlier by age.
+        double spread = 0; // 0..1, of this node; see SnapshotDuty::spread.
     };
 
     SnapshotLoop(Settings, LogReader&, LogAppender&, std::function<bool()> holdsLease);
--- a/src/daemon/statusreport.cpp
+++ b/src/daemon/statusreport.cpp
@@ -44,7 +44,7 @@
         return report;
     }
 
-    // Healthy model hosts that no replica has while some service is short of replicas.
+    // Healthy model hosts that belong to no replica while some model service has fewer serving replicas than wanted.
     Json strandedHosts(const StatusInput& input, const std::set<std::string>& used, bool isShort)
     {
         Json stranded = Json::array();
--- a/src/daemon/statusreport.h
+++ b/src/daemon/statusreport.h
@@ -32,7 +32,7 @@
     MonotonicTime now;
 };
 
-// How far reality matches the operators' text, as docs/PROTOCOLS.md gives it.
+// Compares the observed state with the operators' text, in the JSON format that docs/PROTOCOLS.md defines.
 nlohmann::json statusReport(const StatusInput&);
 
 } // namespace Kumquatpick
--- a/src/daemon/weighedplacer.cpp
+++ b/src/daemon/weighedplacer.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-    // Plain services take no hosts from the domains, so no block of free hosts is kept for them.
+    // Plain services use no hosts of the fault domains, so the policy reserves no block of free hosts for them.
     PlacementService placementService(const ServiceText& service)
     {
         uint32_t hosts = service.kind == ServiceKind::Model ? service.hostsPerReplica : 0;
         return { hosts, service.replicas, 0, service.groupDowntimeWeight, service.strandedWeight };
     }
 
-    // Names on the controller's side, positions on the policy's.
+    // Builds the policy's view, which refers to services, domains and zones by index, from the controller's input,
+    // which refers to them by name.
     class ViewBuilder {
     public:
         explicit ViewBuilder(const PlacementQuestion& question)
@@ -82,8 +83,9 @@
         return Placement { builder.view().domains[choice->domain].domain, std::move(choice->hosts) };
     }
 
-    // The policy may pick any replica it sees, so it sees those that can be moved and no others. The spread over
-    // domains and zones is weighed without the rest, which matters little for a replica that has to move.
+    // The policy may choose any replica in its view, so the view contains only the movable ones. The spread over
+    // domains and zones is therefore computed without the other replicas, which matters little for a replica that must
+    // move.
     std::optional<ReplicaMove> move(const MoveQuestion& question)
     {
         ViewBuilder builder(question.wanted);
--- a/src/daemon/weighedplacer.h
+++ b/src/daemon/weighedplacer.h
@@ -4,8 +4,9 @@
 
 namespace Kumquatpick {
 
-// What the nodes' controllers go by: choosePlacement() for the hosts of a new replica, chooseMove() to make room for
-// one that fits nowhere, and the services' own two weights for how many moves run and whose loads come first.
+// The placement rules of the controllers. choosePlacement() selects the hosts of a new replica, and chooseMove()
+// selects a replica to move when a new one fits nowhere. The service's groupDowntimeWeight and strandedWeight decide
+// how many moves run at once and whether recovery loads go first.
 extern const PlacementRules placeWeighed;
 
 } // namespace Kumquatpick
--- a/tests/daemon/fleet.h
+++ b/tests/daemon/fleet.h
@@ -31,7 +31,8 @@
         { hosts.begin(), hosts.end() } };
 }
 
-// Hosts of one domain that are listed and answer; those of claims are ready under them unless told otherwise.
+// Hosts of one domain that are listed and answer probes. Hosts of a claim are ready under it unless another state is
+// given.
 struct Fleet {
     void claim(const Claim& claim, EngineState state = EngineState::Ready)
     {
--- a/tests/daemon/publisher_test.cpp
+++ b/tests/daemon/publisher_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // A log that nobody answers for: it was never read.
+    // No log service listens at the reader's address, and the log was never read.
     TEST(Publisher, ATextWithFaultsIsInvalidAndAGoodOneUndecidedWithoutTheLog)
     {
         LogReader reader(LogClient({ "127.0.0.1", 1 }, "log"), {}, 1);
--- a/tests/daemon/routingfeed_test.cpp
+++ b/tests/daemon/routingfeed_test.cpp
@@ -27,7 +27,7 @@
             fleet.tell(directory);
         }
 
-        // Requests that get in before the first refusal.
+        // Returns the number of requests admitted before the first refusal.
         uint32_t admitted(uint32_t others, uint32_t own, uint32_t nodes)
         {
             std::map<std::string, uint32_t> othersRunning { { "writers", others }, { "desk", 100 } };
@@ -51,15 +51,15 @@
     TEST(RoutingFeed, SumsTheStreamsOfReplicasThatServe)
     {
         Feed feed;
-        EXPECT_EQ(feed.admitted(0, 0, 1), 16u) << "the third replica still loads";
+        EXPECT_EQ(feed.admitted(0, 0, 1), 16u) << "the third replica is still loading";
         EXPECT_EQ(feed.router.freeStreams("writers"), 16u);
     }
 
     TEST(RoutingFeed, LeavesOtherNodesTheirPart)
     {
         EXPECT_EQ(Feed().admitted(0, 0, 2), 8u);
-        EXPECT_EQ(Feed().admitted(4, 0, 4), 4u) << "an even part at least, other services' use left out";
-        EXPECT_EQ(Feed().admitted(2, 10, 4), 11u) << "what runs here and a quarter of the four unused";
+        EXPECT_EQ(Feed().admitted(4, 0, 4), 4u) << "at least an even share; requests of other services do not count";
+        EXPECT_EQ(Feed().admitted(2, 10, 4), 11u) << "the streams running here plus a quarter of the four unused ones";
     }
 
     TEST(RoutingFeed, AReplicaThatStopsServingTakesItsStreamsAlong)
--- a/tests/daemon/statusreport_test.cpp
+++ b/tests/daemon/statusreport_test.cpp
@@ -35,7 +35,8 @@
     TEST(StatusReport, HealthyHostsOutsideReplicasAreStrandedWhileAReplicaIsMissing)
     {
         EXPECT_EQ(reportOf(oneServes(), 2).at("stranded_hosts"), nlohmann::json({ "idle" }));
-        EXPECT_EQ(reportOf(oneServes(), 1).at("stranded_hosts"), nlohmann::json::array()) << "spare, not stranded";
+        EXPECT_EQ(reportOf(oneServes(), 1).at("stranded_hosts"), nlohmann::json::array())
+            << "no replica is missing, so the host is spare";
     }
 
     TEST(StatusReport, SaysWhatServesAndWhoIsToBlameForWhatDoesNot)
--- a/tests/daemon/weighedplacer_test.cpp
+++ b/tests/daemon/weighedplacer_test.cpp
@@ -11,7 +11,8 @@
     using namespace Testing;
     using Lines = std::vector<std::string>;
 
-    // desk wants four hosts; d1 and d2 have two free ones each, and small replicas beside them.
+    // A replica of desk needs four hosts. d1 and d2 have two free hosts each, and each also has one two-host replica of
+    // writers.
     struct Question {
         Question()
         {
@@ -67,8 +68,8 @@
         EXPECT_EQ(question.move({ 3 })->to.hosts, (Lines { "g", "h" }));
         EXPECT_FALSE(question.move({}));
         question.freeDomains["d1"].hosts.pop_back();
-        EXPECT_FALSE(question.move({ 3 })) << "d1 would still have three";
-        EXPECT_FALSE(question.move({ 4 })) << "d1 has no two to move to";
+        EXPECT_FALSE(question.move({ 3 })) << "d1 would have only three free hosts";
+        EXPECT_FALSE(question.move({ 4 })) << "d1 has only one free host to move to";
     }
 
     TEST(WeighedPlacer, TheOperatorsWeightsSayHowManyMovesRunAndWhoseLoadsGoFirst)
