--- a/src/daemon/configview.cpp
+++ b/src/daemon/configview.cpp
@@ -2,7 +2,7 @@
 
 namespace Kumquatpick {
 
-void ConfigView::listen(Listener listener)
+void ConfigView::setListener(Listener listener)
 {
     std::lock_guard lock(m_mutex);
     m_listener = std::move(listener);
--- a/src/daemon/configview.h
+++ b/src/daemon/configview.h
@@ -17,7 +17,7 @@
     // call back into this object.
     using Listener = std::function<void(const OperatorsText&)>;
 
-    void listen(Listener);
+    void setListener(Listener);
     // Ignores a null pointer and any version that is not newer than the current one.
     void update(const AcceptedConfig*);
 
--- a/src/daemon/controllerloop.cpp
+++ b/src/daemon/controllerloop.cpp
@@ -2,7 +2,7 @@
 
 #include "backend/orders.h"
 #include "base/logline.h"
-#include "daemon/weighedplacer.h"
+#include "daemon/weightedplacement.h"
 
 #include <nlohmann/json.hpp>
 
@@ -12,8 +12,8 @@
 
     constexpr std::string_view controllerLease = "controller";
     constexpr Milliseconds leaseMargin { 1'000 };
-    constexpr Milliseconds settleTimeout { 2'000 };
-    constexpr int ordersAtOnce = 16;
+    constexpr Milliseconds proposalTimeout { 2'000 };
+    constexpr int maxConcurrentOrders = 16;
 
     template <typename... Cases> struct Overloaded : Cases... {
         using Cases::operator()...;
@@ -48,7 +48,7 @@
     , m_hosts(hosts)
     , m_random(seededFromSystem())
     , m_lease(std::string(controllerLease), std::move(self), m_settings.lease, leaseMargin)
-    , m_orders(ordersAtOnce, 0)
+    , m_orderArena(maxConcurrentOrders, 0)
 {
 }
 
@@ -69,21 +69,21 @@
     if (m_thread.joinable())
         m_thread.join();
     std::unique_lock lock(m_mutex);
-    m_changed.wait(lock, [&] { return m_ordering.empty(); });
+    m_changed.wait(lock, [&] { return m_hostsWithOrder.empty(); });
 }
 
-void ControllerLoop::folded(const FoldedRecord& record, MonotonicTime readAt)
+void ControllerLoop::onRecordFolded(const FoldedRecord& record, MonotonicTime readAt)
 {
     std::lock_guard lock(m_mutex);
     m_lease.folded(record.logged, record.verdict, readAt);
-    m_ended.folded(record.logged, record.verdict, readAt);
+    m_endedClaims.folded(record.logged, record.verdict, readAt);
 }
 
-void ControllerLoop::restored(const State& state, MonotonicTime readAt)
+void ControllerLoop::onStateRestored(const State& state, MonotonicTime readAt)
 {
     std::lock_guard lock(m_mutex);
     m_lease.restored(state, readAt);
-    m_ended.restored(state, readAt);
+    m_endedClaims.restored(state, readAt);
 }
 
 bool ControllerLoop::holdsLease() const
@@ -102,7 +102,7 @@
         lock.unlock();
         if (m_reader.ready() && m_reader.reachable()) {
             for (const auto& action : decide(monotonicNow()))
-                carryOut(action);
+                executeAction(action);
         }
         lock.lock();
     }
@@ -113,16 +113,16 @@
     auto registry = m_hosts.registry();
     return m_reader.withState([&](const State& state) {
         std::lock_guard lock(m_mutex);
-        m_ended.prune(state.claims());
-        ControllerInput input { state.config(), state.claims(), registry.views(), m_ended.times(), m_lease,
+        m_endedClaims.prune(state.claims());
+        ControllerInput input { state.config(), state.claims(), registry.views(), m_endedClaims.times(), m_lease,
             registry.watchingSince(), now };
-        return reconcile(input, m_settings.decisions, placeWeighed);
+        return reconcile(input, m_settings.reconcileSettings, weightedPlacement);
     });
 }
 
-void ControllerLoop::carryOut(const ControllerAction& action)
+void ControllerLoop::executeAction(const ControllerAction& action)
 {
-    std::visit(Overloaded { [&](const HostOrder& order) { sendLater(order); },
+    std::visit(Overloaded { [&](const HostOrder& order) { enqueueOrder(order); },
                    [&](const auto& proposal) { propose(proposal); } },
         action);
 }
@@ -136,7 +136,7 @@
         std::lock_guard lock(m_mutex);
         m_lease.sending(record.id, now);
     }
-    auto settled = settle([&] { return m_appender.propose(record, now + settleTimeout); });
+    auto settled = settle([&] { return m_appender.propose(record, now + proposalTimeout); });
     if (auto* error = std::get_if<Error>(&settled))
         logError("controller proposal has no known verdict", *error);
 }
@@ -163,7 +163,7 @@
 // Sends at most one order at a time to each host, so that orders from this node can't overtake each other. A load
 // order needs the address of every peer. An unload order is sent without them, because it is often caused by the loss
 // of a peer.
-void ControllerLoop::sendLater(const HostOrder& order)
+void ControllerLoop::enqueueOrder(const HostOrder& order)
 {
     auto address = addressOf(order.host);
     auto peers = addressesOf(order.peers);
@@ -171,12 +171,12 @@
     if (!address || (needsPeers && peers.size() != order.peers.size()))
         return;
     std::lock_guard lock(m_mutex);
-    if (m_stopping || !m_ordering.insert(order.host).second)
+    if (m_stopping || !m_hostsWithOrder.insert(order.host).second)
         return;
-    m_orders.enqueue([this, order, address, peers] {
+    m_orderArena.enqueue([this, order, address, peers] {
         send(order, *address, peers);
         std::lock_guard done(m_mutex);
-        m_ordering.erase(order.host);
+        m_hostsWithOrder.erase(order.host);
         m_changed.notify_all();
     });
 }
@@ -186,7 +186,7 @@
     auto now = monotonicNow();
     if (now >= order.sendBefore)
         return;
-    m_hosts.ordered(order.host, order.claim, now);
+    m_hosts.recordOrder(order.host, order.claim, now);
     auto engine = engineOrder(order, std::move(peers), m_settings.weightStore);
     auto answer = settle([&] { return sendOrder(address, engine, m_settings.orderTimeout); });
     if (auto* error = std::get_if<Error>(&answer)) {
@@ -194,7 +194,7 @@
         return;
     }
     const auto& status = std::get<EngineStatus>(answer);
-    m_hosts.probed(status);
+    m_hosts.recordStatus(status);
     m_directory.probed(status);
     logLine(LogLevel::Info, "engine accepted order",
         { { "step", name(Step::Order) }, { "peer", address.toString() }, { "host", order.host },
--- a/src/daemon/controllerloop.h
+++ b/src/daemon/controllerloop.h
@@ -25,15 +25,15 @@
         Milliseconds lease { 10'000 };
         Milliseconds orderTimeout { 1'500 };
         Address weightStore;
-        ControllerSettings decisions;
+        ControllerSettings reconcileSettings;
     };
 
     ControllerLoop(NodeId self, Settings, LogReader&, LogAppender&, ReplicaDirectory&, HostTracker&);
     ~ControllerLoop();
 
     // Called on the log reader's thread.
-    void folded(const FoldedRecord&, MonotonicTime readAt);
-    void restored(const State&, MonotonicTime readAt);
+    void onRecordFolded(const FoldedRecord&, MonotonicTime readAt);
+    void onStateRestored(const State&, MonotonicTime readAt);
 
     void start();
     // Waits for orders in progress; no order or proposal is sent after this returns.
@@ -44,9 +44,9 @@
 private:
     void run();
     std::vector<ControllerAction> decide(MonotonicTime now);
-    void carryOut(const ControllerAction&);
+    void executeAction(const ControllerAction&);
     void propose(RecordBody);
-    void sendLater(const HostOrder&);
+    void enqueueOrder(const HostOrder&);
     void send(const HostOrder&, const Address&, std::vector<Address> peers);
     std::optional<Address> addressOf(const std::string& host) const;
     std::vector<Address> addressesOf(const std::vector<std::string>& hosts) const;
@@ -63,10 +63,10 @@
     std::condition_variable m_changed;
     bool m_stopping = false;
     LeaseTracker m_lease;
-    EndedClaims m_ended;
-    std::set<std::string> m_ordering; // Hosts with an order in progress.
+    EndedClaims m_endedClaims;
+    std::set<std::string> m_hostsWithOrder; // Hosts with an order in progress.
 
-    tbb::task_arena m_orders;
+    tbb::task_arena m_orderArena;
     std::thread m_thread;
 };
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -11,8 +11,8 @@
 
     // Callers cache addresses for the time to live of a /v1/entries answer, so new requests may arrive until then.
     constexpr Milliseconds entriesTimeToLive { 5'000 };
-    constexpr Milliseconds handOverLimit { 10'000 };
-    constexpr Milliseconds handOverCheck { 50 };
+    constexpr Milliseconds handOverTimeout { 10'000 };
+    constexpr Milliseconds handOverPollPeriod { 50 };
     constexpr std::chrono::hours unlimited { 24 };
 
     // Peers treat the larger incarnation as the newer process, so the start time is in the high bits. The random low
@@ -36,15 +36,15 @@
     }
 
     // Polls a condition that has no notification, until it holds or the deadline passes.
-    template <typename Condition> bool waitFor(Condition&& condition, MonotonicTime deadline)
+    template <typename Condition> bool pollUntil(Condition&& condition, MonotonicTime deadline)
     {
         std::mutex mutex;
-        std::condition_variable never;
+        std::condition_variable neverNotified;
         std::unique_lock lock(mutex);
         while (!condition()) {
             if (monotonicNow() >= deadline)
                 return false;
-            never.wait_for(lock, handOverCheck);
+            neverNotified.wait_for(lock, handOverPollPeriod);
         }
         return true;
     }
@@ -78,17 +78,17 @@
     logLine(LogLevel::Info, "shutdown started", { { "step", name(Step::Stop) } });
     parts.stopping = true;
     parts.cluster.nudge();
-    waitFor([] { return false; }, monotonicNow() + entriesTimeToLive);
-    parts.callers->beginDrain();
+    pollUntil([] { return false; }, monotonicNow() + entriesTimeToLive);
+    parts.callerServer->beginDrain();
     auto limit
         = parts.settings.stopTimeout.count() > 0 ? std::chrono::nanoseconds(parts.settings.stopTimeout) : unlimited;
-    bool isWhole = parts.callers->drain(monotonicNow() + limit);
+    bool isDrained = parts.callerServer->drain(monotonicNow() + limit);
     parts.controller.stop();
     bool handedOver
-        = waitFor([&] { return parts.slots.handOver(parts.cluster.liveNodes()); }, monotonicNow() + handOverLimit);
+        = pollUntil([&] { return parts.slots.handOver(parts.cluster.liveNodes()); }, monotonicNow() + handOverTimeout);
     logLine(LogLevel::Info, "shutdown finished",
-        { { "step", name(Step::Stop) }, { "cut_off", !isWhole }, { "slots_handed_over", handedOver } });
-    return isWhole;
+        { { "step", name(Step::Stop) }, { "cut_off", !isDrained }, { "slots_handed_over", handedOver } });
+    return isDrained;
 }
 
 } // namespace Kumquatpick
--- a/src/daemon/hosttracker.cpp
+++ b/src/daemon/hosttracker.cpp
@@ -30,7 +30,7 @@
 
 }
 
-void HostTracker::listed(std::span<const ListedHost> hosts, MonotonicTime now)
+void HostTracker::setListed(std::span<const ListedHost> hosts, MonotonicTime now)
 {
     std::vector<HostEntry> entries;
     for (const auto& host : hosts)
@@ -39,19 +39,19 @@
     m_registry.setListed(entries, now);
 }
 
-void HostTracker::probed(const EngineStatus& status)
+void HostTracker::recordStatus(const EngineStatus& status)
 {
     std::lock_guard lock(m_mutex);
     m_registry.answered(status.host, answerOf(status), status.readAt, monotonicNow());
 }
 
-void HostTracker::unanswered(std::string_view host, MonotonicTime now)
+void HostTracker::recordNoAnswer(std::string_view host, MonotonicTime now)
 {
     std::lock_guard lock(m_mutex);
     m_registry.unanswered(host, now);
 }
 
-void HostTracker::ordered(std::string_view host, Offset claim, MonotonicTime now)
+void HostTracker::recordOrder(std::string_view host, Offset claim, MonotonicTime now)
 {
     std::lock_guard lock(m_mutex);
     m_registry.sending(host, claim, now);
--- a/src/daemon/hosttracker.h
+++ b/src/daemon/hosttracker.h
@@ -12,10 +12,10 @@
 // Thread-safe wrapper of the controller's HostRegistry, which the membership, prober and order threads update.
 class HostTracker {
 public:
-    void listed(std::span<const ListedHost>, MonotonicTime now);
-    void probed(const EngineStatus&);
-    void unanswered(std::string_view host, MonotonicTime now);
-    void ordered(std::string_view host, Offset claim, MonotonicTime now);
+    void setListed(std::span<const ListedHost>, MonotonicTime now);
+    void recordStatus(const EngineStatus&);
+    void recordNoAnswer(std::string_view host, MonotonicTime now);
+    void recordOrder(std::string_view host, Offset claim, MonotonicTime now);
 
     // Returns a copy, so that one controller round works on unchanging data.
     HostRegistry registry() const;
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -32,7 +32,7 @@
     {
         SnapshotLoop::Settings result;
         result.retention = settings.logRetention;
-        result.everyRecords = settings.snapshotEvery;
+        result.recordInterval = settings.snapshotEvery;
         result.spread = static_cast<double>(hash64(self.name)) / static_cast<double>(UINT64_MAX);
         return result;
     }
@@ -88,18 +88,18 @@
     , slots(
           self, slotSettings(settings),
           [this](const NodeInfo& to, const SlotMessage& message) {
-              if (auto* open = openTransport.load())
-                  open->send(to, message);
+              if (auto* active = activeTransport.load())
+                  active->send(to, message);
           },
           [this](const SlotsProposal& proposal) { proposals.push(proposal); })
     , cluster({ [this] { return ownReport(); }, [this](const AcceptedText& text) { adoptText(text); },
-                  [this] { gossiped(); }, {} },
+                  [this] { onGossipRound(); }, {} },
           clusterSettings(settings), seededFromSystem()())
     , prober(directory, { settings.probePeriod, Milliseconds(300), 16 },
-          { [this](const EngineStatus& status) { hosts.probed(status); },
-              [this](const std::string& host, const Error&) { hosts.unanswered(host, monotonicNow()); },
-              [this](const EngineStatus& last) { hostDied(last); },
-              [this](const CacheEventBatch& batch) { cacheChanged(batch); } })
+          { [this](const EngineStatus& status) { hosts.recordStatus(status); },
+              [this](const std::string& host, const Error&) { hosts.recordNoAnswer(host, monotonicNow()); },
+              [this](const EngineStatus& last) { onEngineReplaced(last); },
+              [this](const CacheEventBatch& batch) { onCacheEvents(batch); } })
 {
 }
 
@@ -113,41 +113,42 @@
     snapshots.stop();
     reader.stop();
     cluster.stop();
-    openTransport = nullptr;
+    activeTransport = nullptr;
     transport.reset();
-    callers.reset();
+    callerServer.reset();
 }
 
 Result<void> Daemon::Parts::start()
 {
     PeerHandlers handlers { [this](const SlotMessage& message) { slots.deliver(message); },
-        [this](const std::string& lookup) { return callers ? callers->storedAnswer(lookup) : StoredAnswer {}; },
+        [this](
+            const std::string& lookup) { return callerServer ? callerServer->storedAnswer(lookup) : StoredAnswer {}; },
         [this](const GossipMessage& message) { return cluster.answer(message); },
         [this] { return config.accepted(); } };
-    callers = std::make_unique<CallerServer>(callerSettings(settings), collaborators());
+    callerServer = std::make_unique<CallerServer>(callerSettings(settings), collaborators());
     BOOST_LEAF_ASSIGN(transport, NodeTransport::start(self, std::move(handlers)));
-    openTransport = transport.get();
+    activeTransport = transport.get();
     // Started before the other components that have threads, as the log reader and the membership client call it.
     cluster.start(*transport);
 
-    config.listen([this](const OperatorsText& text) { configChanged(text); });
-    reader.subscribe({ [this](const FoldedRecord& record, MonotonicTime readAt) { folded(record, readAt); },
-        [this](MonotonicTime readAt) { restored(readAt); } });
+    config.setListener([this](const OperatorsText& text) { onConfigChanged(text); });
+    reader.subscribe({ [this](const FoldedRecord& record, MonotonicTime readAt) { onRecordFolded(record, readAt); },
+        [this](MonotonicTime readAt) { onStateRestored(readAt); } });
     reader.start();
     membership = std::make_unique<MembershipClient>(timers, MembershipSettings { settings.membership },
-        [this](const MembershipSnapshot& list) { listChanged(list); });
+        [this](const MembershipSnapshot& list) { onMembershipChanged(list); });
     controller.start();
     snapshots.start();
     subscriptions.push_back(timers.every(routingPeriod, [this](MonotonicTime now) { refreshRouting(now); }));
-    subscriptions.push_back(timers.every(listPeriod, [this](MonotonicTime) { listRead(); }));
+    subscriptions.push_back(timers.every(listPeriod, [this](MonotonicTime) { updateListedNodes(); }));
     subscriptions.push_back(timers.every(listPeriod, [this](MonotonicTime) { stopIfReplaced(); }));
     subscriptions.push_back(timers.every(slotPeriod, [this](MonotonicTime now) { tickSlots(now); }));
-    return callers->start();
+    return callerServer->start();
 }
 
-void Daemon::Parts::folded(const FoldedRecord& record, MonotonicTime readAt)
+void Daemon::Parts::onRecordFolded(const FoldedRecord& record, MonotonicTime readAt)
 {
-    controller.folded(record, readAt);
+    controller.onRecordFolded(record, readAt);
     if (record.verdict != Verdict::Accepted)
         return;
     const RecordBody& body = record.logged.record.body;
@@ -164,10 +165,10 @@
     }
 }
 
-void Daemon::Parts::restored(MonotonicTime readAt)
+void Daemon::Parts::onStateRestored(MonotonicTime readAt)
 {
     reader.withState([&](const State& state) {
-        controller.restored(state, readAt);
+        controller.onStateRestored(state, readAt);
         config.update(state.config());
     });
     publishClaims();
@@ -180,7 +181,7 @@
 void Daemon::Parts::publishClaims()
 {
     reader.withState([&](const State& state) { directory.setClaims(state.claims()); });
-    refreshTargets();
+    refreshProbeTargets();
 }
 
 void Daemon::Parts::publishSlots(std::span<const uint32_t> changed)
@@ -198,22 +199,22 @@
     slotMembers.assign(members.begin(), members.end());
 }
 
-void Daemon::Parts::configChanged(const OperatorsText& text)
+void Daemon::Parts::onConfigChanged(const OperatorsText& text)
 {
     admission.configure(text);
     logLine(LogLevel::Info, "operators' text applied", { { "deployment", text.deployment } });
 }
 
-void Daemon::Parts::listChanged(const MembershipSnapshot& list)
+void Daemon::Parts::onMembershipChanged(const MembershipSnapshot& list)
 {
     directory.setListed(list.backends);
-    hosts.listed(list.backends, monotonicNow());
-    refreshTargets();
+    hosts.setListed(list.backends, monotonicNow());
+    refreshProbeTargets();
 }
 
 // The cluster view treats a node as absent only after repeated readings, so an unchanged list is passed on again each
 // time it is read.
-void Daemon::Parts::listRead()
+void Daemon::Parts::updateListedNodes()
 {
     auto list = membership->snapshot();
     if (!list || list->readAt == listReadAt)
@@ -237,7 +238,7 @@
 }
 
 // Probes every listed host, claimed or not, because the controller needs the engine state of free hosts too.
-void Daemon::Parts::refreshTargets()
+void Daemon::Parts::refreshProbeTargets()
 {
     std::set<std::string> leaders;
     reader.withState([&](const State& state) {
@@ -250,13 +251,13 @@
     prober.setTargets(std::move(targets));
 }
 
-void Daemon::Parts::hostDied(const EngineStatus& lastOfIt)
+void Daemon::Parts::onEngineReplaced(const EngineStatus& lastStatus)
 {
-    if (!lastOfIt.replica.empty())
-        suspicion.replicaDied(lastOfIt.replica, monotonicNow());
+    if (!lastStatus.replica.empty())
+        suspicion.replicaDied(lastStatus.replica, monotonicNow());
 }
 
-void Daemon::Parts::cacheChanged(const CacheEventBatch& batch)
+void Daemon::Parts::onCacheEvents(const CacheEventBatch& batch)
 {
     bool gap = batch.gap;
     for (const auto& change : batch.changes) {
@@ -271,21 +272,21 @@
     report.stopping = stopping;
     report.configVersion = config.version();
     report.logOffset = reader.offset();
-    report.streams = callers->inFlight();
+    report.streams = callerServer->inFlight();
     report.usage = admission.localUsage();
     report.suspicions = suspicion.counts();
     return report;
 }
 
-void Daemon::Parts::gossiped()
+void Daemon::Parts::onGossipRound()
 {
     auto usage = cluster.othersUsage();
     admission.setRemoteUsage(usage);
     suspicion.merge(cluster.suspicions(), monotonicNow());
     std::lock_guard lock(usageMutex);
-    othersRunning.clear();
+    remoteRunning.clear();
     for (const auto& team : usage)
-        othersRunning[team.service] += team.running;
+        remoteRunning[team.service] += team.running;
 }
 
 void Daemon::Parts::adoptText(const AcceptedText& text)
@@ -300,11 +301,11 @@
     if (!text)
         return;
     auto nodes = static_cast<uint32_t>(std::max<size_t>(1, cluster.liveNodes().size()));
-    std::map<std::string, uint32_t> ownRunning;
+    std::map<std::string, uint32_t> localRunning;
     for (const auto& team : admission.localUsage())
-        ownRunning[team.service] += team.running;
+        localRunning[team.service] += team.running;
     std::lock_guard lock(usageMutex);
-    routing.refresh(*text, { othersRunning, ownRunning, nodes }, now);
+    routing.refresh(*text, { remoteRunning, localRunning, nodes }, now);
 }
 
 void Daemon::Parts::tickSlots(MonotonicTime now)
@@ -327,7 +328,7 @@
         if (digest.node.id != self.id)
             nodes.push_back(entryNode(digest));
     }
-    nodes.push_back({ self.callerAddress, self.zone, callers->inFlight(), stopping });
+    nodes.push_back({ self.callerAddress, self.zone, callerServer->inFlight(), stopping });
     return nodes;
 }
 
--- a/src/daemon/parts.h
+++ b/src/daemon/parts.h
@@ -44,20 +44,20 @@
     Result<void> start();
 
     // Callbacks of the components; the constructor, start() and collaborators() register them.
-    void folded(const FoldedRecord&, MonotonicTime readAt);
-    void restored(MonotonicTime readAt);
-    void configChanged(const OperatorsText&);
-    void listChanged(const MembershipSnapshot&);
-    void listRead();
+    void onRecordFolded(const FoldedRecord&, MonotonicTime readAt);
+    void onStateRestored(MonotonicTime readAt);
+    void onConfigChanged(const OperatorsText&);
+    void onMembershipChanged(const MembershipSnapshot&);
+    void updateListedNodes();
     void stopIfReplaced();
-    void hostDied(const EngineStatus& lastOfIt);
-    void cacheChanged(const CacheEventBatch&);
+    void onEngineReplaced(const EngineStatus& lastStatus);
+    void onCacheEvents(const CacheEventBatch&);
     OwnReport ownReport();
-    void gossiped();
+    void onGossipRound();
     void adoptText(const AcceptedText&);
     void refreshRouting(MonotonicTime now);
     void tickSlots(MonotonicTime now);
-    void refreshTargets();
+    void refreshProbeTargets();
     void publishClaims();
     void publishSlots(std::span<const uint32_t> changed);
 
@@ -93,14 +93,14 @@
     SlotService slots;
     ClusterView cluster;
     std::unique_ptr<NodeTransport> transport;
-    std::atomic<NodeTransport*> openTransport {
+    std::atomic<NodeTransport*> activeTransport {
         nullptr
     }; // Set by start(). Peer messages may arrive before `transport` is assigned.
     Prober prober;
-    std::unique_ptr<CallerServer> callers;
+    std::unique_ptr<CallerServer> callerServer;
 
     std::mutex usageMutex;
-    std::map<std::string, uint32_t> othersRunning; // By service.
+    std::map<std::string, uint32_t> remoteRunning; // By service.
 
     std::mutex membersMutex;
     std::vector<NodeId> slotMembers; // Owners and witnesses of all slots in the folded log.
--- a/src/daemon/proposalqueue.cpp
+++ b/src/daemon/proposalqueue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    constexpr size_t longestBacklog = 256;
-    constexpr Milliseconds settleTimeout { 5'000 };
+    constexpr size_t maxQueuedProposals = 256;
+    constexpr Milliseconds proposalTimeout { 5'000 };
 
 }
 
@@ -32,9 +32,9 @@
 bool ProposalQueue::push(RecordBody body)
 {
     std::lock_guard lock(m_mutex);
-    if (m_waiting.size() >= longestBacklog)
+    if (m_queue.size() >= maxQueuedProposals)
         return false;
-    m_waiting.push_back(std::move(body));
+    m_queue.push_back(std::move(body));
     m_changed.notify_all();
     return true;
 }
@@ -43,13 +43,13 @@
 {
     std::unique_lock lock(m_mutex);
     while (true) {
-        m_changed.wait(lock, [&] { return m_stopping || !m_waiting.empty(); });
+        m_changed.wait(lock, [&] { return m_stopping || !m_queue.empty(); });
         if (m_stopping)
             return;
-        Record record { randomHex128(m_random), std::move(m_waiting.front()) };
-        m_waiting.pop_front();
+        Record record { randomHex128(m_random), std::move(m_queue.front()) };
+        m_queue.pop_front();
         lock.unlock();
-        auto settled = settle([&] { return m_appender.propose(record, monotonicNow() + settleTimeout); });
+        auto settled = settle([&] { return m_appender.propose(record, monotonicNow() + proposalTimeout); });
         if (auto* error = std::get_if<Error>(&settled))
             logError("queued proposal has no known verdict", *error);
         lock.lock();
--- a/src/daemon/proposalqueue.h
+++ b/src/daemon/proposalqueue.h
@@ -30,7 +30,7 @@
     Random m_random; // Used by m_thread only.
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::deque<RecordBody> m_waiting;
+    std::deque<RecordBody> m_queue;
     bool m_stopping = false;
     std::thread m_thread;
 };
--- a/src/daemon/routingfeed.cpp
+++ b/src/daemon/routingfeed.cpp
@@ -36,13 +36,13 @@
 {
 }
 
-void RoutingFeed::refresh(const OperatorsText& text, const FleetUse& use, MonotonicTime now)
+void RoutingFeed::refresh(const OperatorsText& text, const ClusterLoad& load, MonotonicTime now)
 {
     for (const auto& service : text.services)
-        refreshService(service, use, now);
+        refreshService(service, load, now);
 }
 
-void RoutingFeed::refreshService(const ServiceText& service, const FleetUse& use, MonotonicTime now)
+void RoutingFeed::refreshService(const ServiceText& service, const ClusterLoad& load, MonotonicTime now)
 {
     std::vector<ReplicaSample> serving;
     for (const auto& view : m_directory.replicas(service.name, now)) {
@@ -52,7 +52,7 @@
     auto streams = static_cast<uint32_t>(serving.size()) * service.streamsPerReplica;
     m_router.setServing(service.name, std::move(serving));
     auto share = capacityShare(
-        streams, runningOf(use.othersRunning, service.name), runningOf(use.ownRunning, service.name), use.nodes);
+        streams, runningOf(load.remoteRunning, service.name), runningOf(load.localRunning, service.name), load.nodes);
     m_admission.setCapacity(service.name, share, now);
 }
 
--- a/src/daemon/routingfeed.h
+++ b/src/daemon/routingfeed.h
@@ -12,9 +12,9 @@
 class Router;
 
 // Requests in flight, by service.
-struct FleetUse {
-    const std::map<std::string, uint32_t>& othersRunning; // At other nodes, from their latest digests.
-    const std::map<std::string, uint32_t>& ownRunning;
+struct ClusterLoad {
+    const std::map<std::string, uint32_t>& remoteRunning; // At other nodes, from their latest digests.
+    const std::map<std::string, uint32_t>& localRunning;
     uint32_t nodes = 1; // Live nodes that are not stopping, this one included.
 };
 
@@ -24,10 +24,10 @@
 public:
     RoutingFeed(ReplicaDirectory&, Router&, Admission&);
 
-    void refresh(const OperatorsText&, const FleetUse&, MonotonicTime now);
+    void refresh(const OperatorsText&, const ClusterLoad&, MonotonicTime now);
 
 private:
-    void refreshService(const ServiceText&, const FleetUse&, MonotonicTime now);
+    void refreshService(const ServiceText&, const ClusterLoad&, MonotonicTime now);
 
     ReplicaDirectory& m_directory;
     Router& m_router;
--- a/src/daemon/snapshotloop.cpp
+++ b/src/daemon/snapshotloop.cpp
@@ -60,8 +60,8 @@
     duty.uncoveredExpired = need.uncoveredExpired;
     duty.holdsLease = m_holdsLease();
     duty.spread = m_settings.spread;
-    bool isLong = m_reader.offset() - need.snapshotCovers >= m_settings.everyRecords;
-    return snapshotDue(duty) || (isLong && duty.holdsLease);
+    bool hasManyRecords = m_reader.offset() - need.snapshotCovers >= m_settings.recordInterval;
+    return snapshotDue(duty) || (hasManyRecords && duty.holdsLease);
 }
 
 void SnapshotLoop::append()
--- a/src/daemon/statusreport.cpp
+++ b/src/daemon/statusreport.cpp
@@ -45,14 +45,14 @@
     }
 
     // Healthy model hosts that belong to no replica while some model service has fewer serving replicas than wanted.
-    Json strandedHosts(const StatusInput& input, const std::set<std::string>& used, bool isShort)
+    Json strandedHosts(const StatusInput& input, const std::set<std::string>& hostsInUse, bool hasMissingReplicas)
     {
         Json stranded = Json::array();
-        if (!isShort)
+        if (!hasMissingReplicas)
             return stranded;
         for (const auto& host : input.directory.listed()) {
             bool isHealthy = !host.leaving && input.directory.status(host.host).has_value();
-            if (host.service.empty() && isHealthy && !used.contains(host.host))
+            if (host.service.empty() && isHealthy && !hostsInUse.contains(host.host))
                 stranded.push_back(host.host);
         }
         return stranded;
@@ -63,22 +63,23 @@
 nlohmann::json statusReport(const StatusInput& input)
 {
     Json services = Json::array();
-    std::set<std::string> used;
-    bool isShort = false;
+    std::set<std::string> hostsInUse;
+    bool hasMissingReplicas = false;
     for (const auto& view : input.directory.replicas(input.now))
-        used.insert(view.hosts.begin(), view.hosts.end());
+        hostsInUse.insert(view.hosts.begin(), view.hosts.end());
     if (input.text) {
         for (const auto& service : input.text->services) {
             auto views = input.directory.replicas(service.name, input.now);
             auto report = serviceReport(service, views);
-            isShort = isShort || (service.kind == ServiceKind::Model && report["serving"] < service.replicas);
+            hasMissingReplicas
+                = hasMissingReplicas || (service.kind == ServiceKind::Model && report["serving"] < service.replicas);
             services.push_back(std::move(report));
         }
     }
     return { { "node", input.self.id.name }, { "config_version", input.configVersion },
         { "log_offset", input.logOffset }, { "log_reachable", input.logReachable }, { "controller", input.holdsLease },
         { "services", std::move(services) }, { "nodes", nodesReport(input.nodes) },
-        { "stranded_hosts", strandedHosts(input, used, isShort) } };
+        { "stranded_hosts", strandedHosts(input, hostsInUse, hasMissingReplicas) } };
 }
 
 } // namespace Kumquatpick
--- a/src/daemon/weighedplacer.cpp
+++ b/src/daemon/weightedplacement.cpp
@@ -1,4 +1,4 @@
-#include "daemon/weighedplacer.h"
+#include "daemon/weightedplacement.h"
 
 #include "policy/placement.h"
 
@@ -26,7 +26,7 @@
                 addService(service);
             for (const auto& [name, domain] : question.freeDomains)
                 addDomain(name, domain);
-            m_view.zones = static_cast<uint32_t>(m_zones.size());
+            m_view.zones = static_cast<uint32_t>(m_zoneIndices.size());
         }
 
         void addEveryReplica(const PlacementQuestion& question)
@@ -39,28 +39,28 @@
 
         void addReplica(const ClaimProposal& proposal)
         {
-            auto service = m_services.find(proposal.service);
-            auto domain = m_domains.find(proposal.domain);
-            if (service == m_services.end() || domain == m_domains.end())
+            auto service = m_serviceIndices.find(proposal.service);
+            auto domain = m_domainIndices.find(proposal.domain);
+            if (service == m_serviceIndices.end() || domain == m_domainIndices.end())
                 return;
             ++m_view.services[service->second].placed;
             m_view.domains[domain->second].replicas.push_back({ service->second, proposal.replica });
         }
 
         const PlacementView& view() const { return m_view; }
-        uint32_t service(const std::string& name) const { return m_services.at(name); }
+        uint32_t serviceIndex(const std::string& name) const { return m_serviceIndices.at(name); }
 
     private:
         void addService(const ServiceText& service)
         {
-            m_services.emplace(service.name, static_cast<uint32_t>(m_view.services.size()));
+            m_serviceIndices.emplace(service.name, static_cast<uint32_t>(m_view.services.size()));
             m_view.services.push_back(placementService(service));
         }
 
         void addDomain(const std::string& name, const FreeDomain& domain)
         {
-            m_domains.emplace(name, static_cast<uint32_t>(m_view.domains.size()));
-            auto zone = m_zones.emplace(domain.zone, static_cast<uint32_t>(m_zones.size())).first->second;
+            m_domainIndices.emplace(name, static_cast<uint32_t>(m_view.domains.size()));
+            auto zone = m_zoneIndices.emplace(domain.zone, static_cast<uint32_t>(m_zoneIndices.size())).first->second;
             PlacementDomain added { name, zone, {}, {} };
             for (const auto& host : domain.hosts)
                 added.freeHosts.push_back({ host, noService });
@@ -68,16 +68,16 @@
         }
 
         PlacementView m_view;
-        std::map<std::string, uint32_t> m_services;
-        std::map<std::string, uint32_t> m_domains;
-        std::map<std::string, uint32_t> m_zones;
+        std::map<std::string, uint32_t> m_serviceIndices;
+        std::map<std::string, uint32_t> m_domainIndices;
+        std::map<std::string, uint32_t> m_zoneIndices;
     };
 
     std::optional<Placement> place(const PlacementQuestion& question)
     {
         ViewBuilder builder(question);
         builder.addEveryReplica(question);
-        auto choice = choosePlacement(builder.view(), builder.service(question.service.name));
+        auto choice = choosePlacement(builder.view(), builder.serviceIndex(question.service.name));
         if (!choice)
             return std::nullopt;
         return Placement { builder.view().domains[choice->domain].domain, std::move(choice->hosts) };
@@ -92,7 +92,7 @@
         for (const Claim* claim : question.movable)
             builder.addReplica(claim->proposal);
         const PlacementView& view = builder.view();
-        auto choice = chooseMove(view, builder.service(question.wanted.service.name));
+        auto choice = chooseMove(view, builder.serviceIndex(question.wanted.service.name));
         if (!choice)
             return std::nullopt;
         const std::string& service = question.wanted.text.services[choice->service].name;
@@ -105,15 +105,15 @@
             { view.domains[choice->to.domain].domain, std::move(choice->to.hosts) } };
     }
 
-    size_t movesBound(const ServiceText& service, bool recoveriesWait)
+    size_t maxConcurrentMoves(const ServiceText& service, bool recoveriesWait)
     {
         return movesAtOnce(placementService(service), recoveriesWait);
     }
 
-    bool loadsFirst(const ServiceText& service) { return recoveryLoadsFirst(placementService(service)); }
+    bool prioritizesRecoveryLoads(const ServiceText& service) { return recoveryLoadsFirst(placementService(service)); }
 
 }
 
-const PlacementRules placeWeighed { place, move, movesBound, loadsFirst };
+const PlacementRules weightedPlacement { place, move, maxConcurrentMoves, prioritizesRecoveryLoads };
 
 } // namespace Kumquatpick
--- a/tests/daemon/configview_test.cpp
+++ b/tests/daemon/configview_test.cpp
@@ -14,11 +14,11 @@
         return config;
     }
 
-    RC_GTEST_PROP(ConfigView, NeverGoesBack, (const std::vector<uint8_t>& versions))
+    RC_GTEST_PROP(ConfigView, VersionNeverDecreases, (const std::vector<uint8_t>& versions))
     {
         ConfigView view;
-        std::vector<std::string> heard;
-        view.listen([&](const OperatorsText& text) { heard.push_back(text.deployment); });
+        std::vector<std::string> notifiedDeployments;
+        view.setListener([&](const OperatorsText& text) { notifiedDeployments.push_back(text.deployment); });
         Offset newest = 0;
         std::vector<std::string> expected;
         for (uint8_t version : versions) {
@@ -37,7 +37,7 @@
             RC_ASSERT(view.text()->deployment == std::to_string(newest));
             RC_ASSERT(view.accepted().text == "text " + std::to_string(newest));
         }
-        RC_ASSERT(heard == expected);
+        RC_ASSERT(notifiedDeployments == expected);
     }
 
 }
--- a/tests/daemon/fleet.h
+++ b/tests/daemon/fleet.h
@@ -25,9 +25,9 @@
 inline Claim claimOf(
     Offset offset, const std::string& service, const std::string& domain, const std::vector<std::string>& hosts)
 {
-    std::vector<uint64_t> lives(hosts.size(), 1);
+    std::vector<uint64_t> incarnations(hosts.size(), 1);
     return { offset, ClaimPhase::Held,
-        { service, "r" + std::to_string(offset), "howrah", domain, hosts, lives, "kumquat", "1" },
+        { service, "r" + std::to_string(offset), "howrah", domain, hosts, incarnations, "kumquat", "1" },
         { hosts.begin(), hosts.end() } };
 }
 
@@ -53,7 +53,7 @@
         statuses.push_back(status);
     }
 
-    void tell(ReplicaDirectory& directory) const
+    void applyTo(ReplicaDirectory& directory) const
     {
         directory.setListed(listed);
         directory.setClaims(claims);
--- a/tests/daemon/routingfeed_test.cpp
+++ b/tests/daemon/routingfeed_test.cpp
@@ -12,8 +12,8 @@
 
     using namespace Testing;
 
-    struct Feed {
-        Feed()
+    struct RoutingFeedFixture {
+        RoutingFeedFixture()
         {
             ServiceText service = modelService("writers", 2, 3);
             service.streamsPerReplica = 8;
@@ -24,15 +24,15 @@
             fleet.claim(claimOf(3, "writers", "d1", { "a", "b" }));
             fleet.claim(claimOf(4, "writers", "d1", { "c", "d" }));
             fleet.claim(claimOf(5, "writers", "d1", { "e", "f" }), EngineState::Loading);
-            fleet.tell(directory);
+            fleet.applyTo(directory);
         }
 
         // Returns the number of requests admitted before the first refusal.
-        uint32_t admitted(uint32_t others, uint32_t own, uint32_t nodes)
+        uint32_t admitted(uint32_t remote, uint32_t local, uint32_t nodes)
         {
-            std::map<std::string, uint32_t> othersRunning { { "writers", others }, { "desk", 100 } };
-            std::map<std::string, uint32_t> ownRunning { { "writers", own } };
-            feed.refresh(text, { othersRunning, ownRunning, nodes }, fleetNow);
+            std::map<std::string, uint32_t> remoteRunning { { "writers", remote }, { "desk", 100 } };
+            std::map<std::string, uint32_t> localRunning { { "writers", local } };
+            feed.refresh(text, { remoteRunning, localRunning, nodes }, fleetNow);
             uint32_t count = 0;
             AdmissionRequest request { "writers", "coaches", Priority::Normal, fleetNow + std::chrono::hours(24) };
             while (admission.admit(request).verdict == AdmissionVerdict::Admitted)
@@ -48,23 +48,25 @@
         RoutingFeed feed { directory, router, admission };
     };
 
-    TEST(RoutingFeed, SumsTheStreamsOfReplicasThatServe)
+    TEST(RoutingFeed, CapacityIsTheStreamsOfServingReplicas)
     {
-        Feed feed;
+        RoutingFeedFixture feed;
         EXPECT_EQ(feed.admitted(0, 0, 1), 16u) << "the third replica is still loading";
         EXPECT_EQ(feed.router.freeStreams("writers"), 16u);
     }
 
-    TEST(RoutingFeed, LeavesOtherNodesTheirPart)
+    TEST(RoutingFeed, DividesStreamsAmongNodes)
     {
-        EXPECT_EQ(Feed().admitted(0, 0, 2), 8u);
-        EXPECT_EQ(Feed().admitted(4, 0, 4), 4u) << "at least an even share; requests of other services do not count";
-        EXPECT_EQ(Feed().admitted(2, 10, 4), 11u) << "the streams running here plus a quarter of the four unused ones";
+        EXPECT_EQ(RoutingFeedFixture().admitted(0, 0, 2), 8u);
+        EXPECT_EQ(RoutingFeedFixture().admitted(4, 0, 4), 4u)
+            << "at least an even share; requests of other services do not count";
+        EXPECT_EQ(RoutingFeedFixture().admitted(2, 10, 4), 11u)
+            << "the streams running here plus a quarter of the four unused ones";
     }
 
-    TEST(RoutingFeed, AReplicaThatStopsServingTakesItsStreamsAlong)
+    TEST(RoutingFeed, CapacityDropsWhenReplicaStopsServing)
     {
-        Feed feed;
+        RoutingFeedFixture feed;
         feed.directory.unanswered("c");
         EXPECT_EQ(feed.admitted(0, 0, 1), 8u);
         EXPECT_EQ(feed.router.freeStreams("writers"), 8u);
--- a/tests/daemon/statusreport_test.cpp
+++ b/tests/daemon/statusreport_test.cpp
@@ -14,14 +14,14 @@
     nlohmann::json reportOf(const Fleet& fleet, uint32_t replicas)
     {
         ReplicaDirectory directory { Milliseconds(1'000) };
-        fleet.tell(directory);
+        fleet.applyTo(directory);
         OperatorsText text;
         text.services = { modelService("writers", 2, replicas) };
         NodeInfo self;
         return statusReport({ self, &text, 7, 9, true, false, {}, directory, fleetNow });
     }
 
-    Fleet oneServes()
+    Fleet fleetWithOneServingReplica()
     {
         Fleet fleet;
         fleet.claim(claimOf(3, "writers", "d1", { "a", "b" }));
@@ -34,14 +34,14 @@
 
     TEST(StatusReport, HealthyHostsOutsideReplicasAreStrandedWhileAReplicaIsMissing)
     {
-        EXPECT_EQ(reportOf(oneServes(), 2).at("stranded_hosts"), nlohmann::json({ "idle" }));
-        EXPECT_EQ(reportOf(oneServes(), 1).at("stranded_hosts"), nlohmann::json::array())
+        EXPECT_EQ(reportOf(fleetWithOneServingReplica(), 2).at("stranded_hosts"), nlohmann::json({ "idle" }));
+        EXPECT_EQ(reportOf(fleetWithOneServingReplica(), 1).at("stranded_hosts"), nlohmann::json::array())
             << "no replica is missing, so the host is spare";
     }
 
-    TEST(StatusReport, SaysWhatServesAndWhoIsToBlameForWhatDoesNot)
+    TEST(StatusReport, ReportsServingReplicasAndReasonAndBlamedHostOfOthers)
     {
-        Fleet fleet = oneServes();
+        Fleet fleet = fleetWithOneServingReplica();
         fleet.claim(claimOf(4, "writers", "d1", { "c", "d" }), EngineState::Loading);
         auto report = reportOf(fleet, 2);
         EXPECT_EQ(report.at("config_version"), 7);
--- a/tests/daemon/weighedplacer_test.cpp
+++ b/tests/daemon/weightedplacement_test.cpp
@@ -1,4 +1,4 @@
-#include "daemon/weighedplacer.h"
+#include "daemon/weightedplacement.h"
 
 #include "fleet.h"
 
@@ -9,12 +9,12 @@
 namespace {
 
     using namespace Testing;
-    using Lines = std::vector<std::string>;
+    using HostNames = std::vector<std::string>;
 
     // A replica of desk needs four hosts. d1 and d2 have two free hosts each, and each also has one two-host replica of
     // writers.
-    struct Question {
-        Question()
+    struct PlacementFixture {
+        PlacementFixture()
         {
             text.services = { modelService("writers", 2, 2), modelService("desk", 4, 1) };
             ServiceText plain;
@@ -27,7 +27,7 @@
             freeDomains = { { "d1", { "howrah", { "e", "f" } } }, { "d2", { "siliguri", { "g", "h" } } } };
         }
 
-        PlacementQuestion about(size_t service) const
+        PlacementQuestion questionFor(size_t service) const
         {
             return { text.services[service], text, claims, {}, freeDomains };
         }
@@ -38,7 +38,7 @@
             movable.reserve(offsets.size());
             for (Offset offset : offsets)
                 movable.push_back(&claims.at(offset));
-            return placeWeighed.move({ about(1), movable });
+            return weightedPlacement.move({ questionFor(1), movable });
         }
 
         OperatorsText text;
@@ -46,43 +46,43 @@
         std::map<std::string, FreeDomain> freeDomains;
     };
 
-    TEST(WeighedPlacer, AnswersWithNamesAndHostsOfOneDomain)
+    TEST(WeightedPlacement, PlacesReplicaOnHostsOfOneDomain)
     {
-        Question question;
-        EXPECT_FALSE(placeWeighed.place(question.about(1)));
-        question.freeDomains["d2"].hosts = { "g", "h", "i", "j" };
-        auto placement = placeWeighed.place(question.about(1));
+        PlacementFixture fixture;
+        EXPECT_FALSE(weightedPlacement.place(fixture.questionFor(1)));
+        fixture.freeDomains["d2"].hosts = { "g", "h", "i", "j" };
+        auto placement = weightedPlacement.place(fixture.questionFor(1));
         ASSERT_TRUE(placement);
         EXPECT_EQ(placement->domain, "d2");
-        EXPECT_EQ(placement->hosts, (Lines { "g", "h", "i", "j" }));
+        EXPECT_EQ(placement->hosts, (HostNames { "g", "h", "i", "j" }));
     }
 
-    TEST(WeighedPlacer, MovesOnlyWhatTheControllerCallsMovable)
+    TEST(WeightedPlacement, MovesOnlyMovableReplicas)
     {
-        Question question;
-        auto move = question.move({ 4 });
+        PlacementFixture fixture;
+        auto move = fixture.move({ 4 });
         ASSERT_TRUE(move);
         EXPECT_EQ(move->claim, 4u);
         EXPECT_EQ(move->to.domain, "d1");
-        EXPECT_EQ(move->to.hosts, (Lines { "e", "f" }));
-        EXPECT_EQ(question.move({ 3 })->to.hosts, (Lines { "g", "h" }));
-        EXPECT_FALSE(question.move({}));
-        question.freeDomains["d1"].hosts.pop_back();
-        EXPECT_FALSE(question.move({ 3 })) << "d1 would have only three free hosts";
-        EXPECT_FALSE(question.move({ 4 })) << "d1 has only one free host to move to";
+        EXPECT_EQ(move->to.hosts, (HostNames { "e", "f" }));
+        EXPECT_EQ(fixture.move({ 3 })->to.hosts, (HostNames { "g", "h" }));
+        EXPECT_FALSE(fixture.move({}));
+        fixture.freeDomains["d1"].hosts.pop_back();
+        EXPECT_FALSE(fixture.move({ 3 })) << "d1 would have only three free hosts";
+        EXPECT_FALSE(fixture.move({ 4 })) << "d1 has only one free host to move to";
     }
 
-    TEST(WeighedPlacer, TheOperatorsWeightsSayHowManyMovesRunAndWhoseLoadsGoFirst)
+    TEST(WeightedPlacement, ServiceWeightsDecideConcurrentMovesAndLoadOrder)
     {
         ServiceText service = modelService("desk", 4, 1);
         service.groupDowntimeWeight = 0.8;
         service.strandedWeight = 0.2;
-        EXPECT_TRUE(placeWeighed.recoveryLoadsFirst(service));
-        EXPECT_EQ(placeWeighed.movesAtOnce(service, true), 1u);
-        EXPECT_EQ(placeWeighed.movesAtOnce(service, false), 4u);
+        EXPECT_TRUE(weightedPlacement.recoveryLoadsFirst(service));
+        EXPECT_EQ(weightedPlacement.movesAtOnce(service, true), 1u);
+        EXPECT_EQ(weightedPlacement.movesAtOnce(service, false), 4u);
         std::swap(service.groupDowntimeWeight, service.strandedWeight);
-        EXPECT_FALSE(placeWeighed.recoveryLoadsFirst(service));
-        EXPECT_EQ(placeWeighed.movesAtOnce(service, true), 4u);
+        EXPECT_FALSE(weightedPlacement.recoveryLoadsFirst(service));
+        EXPECT_EQ(weightedPlacement.movesAtOnce(service, true), 4u);
     }
 
 }
