--- a/src/daemon/controllerloop.cpp
+++ b/src/daemon/controllerloop.cpp
@@ -138,7 +138,7 @@
     }
     auto settled = settle([&] { return m_appender.propose(record, now + proposalTimeout); });
     if (auto* error = std::get_if<Error>(&settled))
-        logError("controller proposal has no known verdict", *error);
+        logError("controller proposal outcome unknown", *error);
 }
 
 std::optional<Address> ControllerLoop::addressOf(const std::string& host) const
--- a/src/daemon/parts.h
+++ b/src/daemon/parts.h
@@ -93,9 +93,8 @@
     SlotService slots;
     ClusterView cluster;
     std::unique_ptr<NodeTransport> transport;
-    std::atomic<NodeTransport*> activeTransport {
-        nullptr
-    }; // Set by start(). Peer messages may arrive before `transport` is assigned.
+    // Set by start(). Peer messages may arrive before `transport` is assigned.
+    std::atomic<NodeTransport*> activeTransport { nullptr };
     Prober prober;
     std::unique_ptr<CallerServer> callerServer;
 
@@ -106,8 +105,8 @@
     std::vector<NodeId> slotMembers; // Owners and witnesses of all slots in the folded log.
 
     std::unique_ptr<MembershipClient> membership;
-    MonotonicTime
-        listReadAt {}; // Read time of the list last passed to the cluster view; used by the timer thread only.
+    // Read time of the list last passed to the cluster view; used by the timer thread only.
+    MonotonicTime listReadAt {};
     std::vector<TimerService::Subscription> subscriptions;
 };
 
--- a/src/daemon/proposalqueue.cpp
+++ b/src/daemon/proposalqueue.cpp
@@ -51,7 +51,7 @@
         lock.unlock();
         auto settled = settle([&] { return m_appender.propose(record, monotonicNow() + proposalTimeout); });
         if (auto* error = std::get_if<Error>(&settled))
-            logError("queued proposal has no known verdict", *error);
+            logError("queued proposal outcome unknown", *error);
         lock.lock();
     }
 }
--- a/src/daemon/publisher.cpp
+++ b/src/daemon/publisher.cpp
@@ -32,7 +32,7 @@
     Record record { request.id, ConfigProposal { request.basedOn, request.text, request.operatorName } };
     auto decided = settle([&] { return appender.propose(record, deadline); });
     if (auto* error = std::get_if<Error>(&decided)) {
-        logError("publish has no known verdict", *error);
+        logError("publish outcome unknown", *error);
         return { PublishOutcome::Kind::Undecided, 0, {} };
     }
     return outcomeOf(std::get<DecidedRecord>(decided), currentVersion);
--- a/src/daemon/snapshotloop.h
+++ b/src/daemon/snapshotloop.h
@@ -19,8 +19,8 @@
     struct Settings {
         Milliseconds period { 5'000 };
         Milliseconds retention {};
-        uint64_t recordInterval
-            = 0; // The lease holder appends a snapshot after this many records, if none was due earlier by age.
+        // The lease holder appends a snapshot after this many records, if none was due earlier by age.
+        uint64_t recordInterval = 0;
         double spread = 0; // 0..1, of this node; see SnapshotDuty::spread.
     };
 
