--- a/src/daemon/routingfeed.h
+++ b/src/daemon/routingfeed.h
@@ -11,22 +11,23 @@
 class Admission;
 class Router;
 
-// What is in flight, by service.
-struct FleetUse {
-    const std::map<std::string, uint32_t>& othersRunning; // At other nodes, by their latest digests.
-    const std::map<std::string, uint32_t>& ownRunning;
-    uint32_t nodes = 1; // Those that take requests, this one included.
+// Requests in flight, by service.
+struct ClusterLoad {
+    const std::map<std::string, uint32_t>& remoteRunning; // At other nodes, from their latest digests.
+    const std::map<std::string, uint32_t>& localRunning;
+    uint32_t nodes = 1; // Live nodes that are not stopping, this one included.
 };
 
-// Hands the replicas that serve now to the router, and their room to admission, service by service.
+// For each service, passes the replicas that are serving to the router, and this node's share of their streams to
+// admission control.
 class RoutingFeed {
 public:
     RoutingFeed(ReplicaDirectory&, Router&, Admission&);
 
-    void refresh(const OperatorsText&, const FleetUse&, MonotonicTime now);
+    void refresh(const OperatorsText&, const ClusterLoad&, MonotonicTime now);
 
 private:
-    void refreshService(const ServiceText&, const FleetUse&, MonotonicTime now);
+    void refreshService(const ServiceText&, const ClusterLoad&, MonotonicTime now);
 
     ReplicaDirectory& m_directory;
     Router& m_router;
--- a/src/daemon/snapshotloop.cpp
+++ b/src/daemon/snapshotloop.cpp
@@ -60,8 +60,8 @@
     conditions.uncoveredExpired = need.uncoveredExpired;
     conditions.holdsLease = m_holdsLease();
     conditions.spread = m_settings.spread;
-    bool isLong = m_reader.offset() - need.snapshotCovers >= m_settings.everyRecords;
-    return isSnapshotDue(conditions) || (isLong && conditions.holdsLease);
+    bool hasManyRecords = m_reader.offset() - need.snapshotCovers >= m_settings.recordInterval;
+    return isSnapshotDue(conditions) || (hasManyRecords && conditions.holdsLease);
 }
 
 void SnapshotLoop::append()
@@ -69,7 +69,7 @@
     auto random = seededFromSystem();
     auto appended = settle([&] { return m_appender.appendSnapshot(random, monotonicNow() + appendTimeout); });
     if (auto* error = std::get_if<Error>(&appended))
-        logError("snapshot failed", *error);
+        logError("appending a snapshot failed", *error);
 }
 
 } // namespace Kumquatpick
--- a/tests/daemon/fleet.h
+++ b/tests/daemon/fleet.h
@@ -25,13 +25,14 @@
 inline Claim claimOf(
     Offset offset, const std::string& service, const std::string& domain, const std::vector<std::string>& hosts)
 {
-    std::vector<uint64_t> lives(hosts.size(), 1);
+    std::vector<uint64_t> incarnations(hosts.size(), 1);
     return { offset, ClaimPhase::Held,
-        { service, "r" + std::to_string(offset), "howrah", domain, hosts, lives, "kumquat", "1" },
+        { service, "r" + std::to_string(offset), "howrah", domain, hosts, incarnations, "kumquat", "1" },
         { hosts.begin(), hosts.end() } };
 }
 
-// Hosts of one domain that are listed and answer; those of claims are ready under them unless told otherwise.
+// Hosts of one domain that are listed and answer probes. Hosts of a claim are ready under it unless another state is
+// given.
 struct Fleet {
     void claim(const Claim& claim, EngineState state = EngineState::Ready)
     {
@@ -52,7 +53,7 @@
         statuses.push_back(status);
     }
 
-    void tell(ReplicaDirectory& directory) const
+    void applyTo(ReplicaDirectory& directory) const
     {
         directory.setListed(listed);
         directory.setClaims(claims);
