--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -121,7 +121,8 @@
 Result<void> Daemon::Parts::start()
 {
     PeerHandlers handlers { [this](const SlotMessage& message) { slots.deliver(message); },
-        [this](const std::string& lookup) { return callerServer ? callerServer->storedAnswer(lookup) : StoredAnswer {}; },
+        [this](
+            const std::string& lookup) { return callerServer ? callerServer->storedAnswer(lookup) : StoredAnswer {}; },
         [this](const GossipMessage& message) { return cluster.answer(message); },
         [this] { return config.accepted(); } };
     callerServer = std::make_unique<CallerServer>(callerSettings(settings), collaborators());
@@ -356,8 +357,8 @@
 
 CallerDependencies Daemon::Parts::collaborators()
 {
-    CallerDependencies result { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {}, {},
-        {}, {}, {}, {}, {}, {}, {} };
+    CallerDependencies result { self, admission, router, retryBudget, suspicion, directory, metrics, traces, {}, {}, {},
+        {}, {}, {}, {}, {}, {}, {}, {} };
     result.startCall = [this](BackendRequest request) { return backends.start(std::move(request)); };
     result.permit = [this](const RequestKey& key, ArrivalId arrival, MonotonicTime deadline) {
         return slots.permit(key, arrival, deadline);
