--- a/src/log/appender.cpp
+++ b/src/log/appender.cpp
@@ -26,24 +26,24 @@
     return m_reader.withState([&](const State& state) { return state.decided(id); });
 }
 
-// Looks before every append: an answer that was lost earlier, here or at another node, must not lead to a
-// second record. Should one come to be all the same, the fold drops it.
+// Checks for a verdict before every append, so that an answer lost earlier, on this node or another, does not lead
+// to a second record. A duplicate that is appended nevertheless is ignored when it is applied.
 Result<DecidedRecord> LogAppender::propose(const Record& record, MonotonicTime deadline)
 {
     const std::string body = encode(record);
     auto decided = [&] { return look(record.id).has_value(); };
     while (!decided()) {
         if (!m_reader.reachable() || !m_reader.ready())
-            return undecided("the log is down");
+            return undecided("the log is unreachable");
         if (monotonicNow() >= deadline)
             return undecided("the deadline has passed");
         auto outcome = settle([&] { return attempt(body, deadline); });
         if (auto* error = std::get_if<Error>(&outcome)) {
             if (!mayBeInLog(error->code))
-                return error->code == ErrorCode::Unreachable ? undecided("the log can't be reached") : fail(*error);
+                return error->code == ErrorCode::Unreachable ? undecided("cannot connect to the log") : fail(*error);
             auto landed = settle([&] { return isInLog(record.id); });
             if (std::holds_alternative<Error>(landed))
-                return undecided("the log did not answer");
+                return undecided("cannot read back from the log whether the record was appended");
             if (!std::get<bool>(landed))
                 continue;
         }
@@ -68,7 +68,7 @@
     return fail({ ErrorCode::Timeout, Step::LogAppend, m_reader.client().address().toString(), std::move(detail) });
 }
 
-// Reads the log's end directly: the reader's own poll may be waiting for a record that never came.
+// Reads the log's end directly: the reader's long poll may be waiting for a record that was never appended.
 Result<bool> LogAppender::isInLog(const std::string& id) const
 {
     Offset from = m_reader.offset() + 1;
--- a/src/log/appender.h
+++ b/src/log/appender.h
@@ -5,18 +5,18 @@
 
 namespace Kumquatpick {
 
-// Appends proposals and finds out what became of them. Thread-safe; a call blocks its thread.
+// Appends proposals to the log and waits for their verdicts. Thread-safe; calls are blocking.
 class LogAppender {
 public:
     explicit LogAppender(LogReader&, Milliseconds attemptTimeout = Milliseconds(1'000));
 
-    // The fold's verdict on the record with this id, whether this call appended it or an earlier one did.
-    // Fails with Timeout if that could not be learnt: the record may or may not come to be in the log, and the
-    // same record (with the same id) may be proposed again, here or at another node. While the log is down
-    // this is said at once. Fails with Refused if the log did not take the record.
+    // Returns the verdict on the record with this id, whether this call or an earlier one appended it.
+    // Fails with Timeout if the verdict is not known by the deadline: the record may or may not end up in the log,
+    // and the same record (with the same id) may be proposed again, on this node or another. While the log is
+    // unreachable, it fails with Timeout without waiting. Fails with Refused if the log rejects the record.
     Result<DecidedRecord> propose(const Record&, MonotonicTime deadline);
-    // Appends a snapshot of the state, part by part. Fails like propose(); the parts that are in the log by then
-    // mean nothing without the last one.
+    // Appends a snapshot of the state, part by part. Fails like propose(); an incomplete snapshot, without its
+    // last part, is ignored by readers.
     Result<void> appendSnapshot(Random&, MonotonicTime deadline, size_t partBytes = snapshotPartBytes);
 
 private:
--- a/src/log/client.cpp
+++ b/src/log/client.cpp
@@ -12,8 +12,8 @@
 
     constexpr int httpOk = 200;
 
-    // A client a call: a kept connection that the log closed in the meantime would make an append's outcome
-    // doubtful for nothing, and reads are long polls, for which connecting is no cost.
+    // Each call uses a new connection. If the log service closed a kept-alive connection in the meantime, an append
+    // would fail with an unknown outcome; reads are long polls, for which the cost of connecting does not matter.
     httplib::Client connectTo(const Address& address, Milliseconds timeout)
     {
         httplib::Client client(address.ip, address.port);
@@ -46,7 +46,7 @@
         return page;
     }
 
-    // Reads a JSON answer by `extract`; anything unexpected in it is Malformed.
+    // Parses a JSON answer and passes it to `extract`. Fails with Malformed if the JSON is not as expected.
     template <typename Extract>
     auto readAnswer(Step step, const Address& address, const std::string& body, Extract&& extract)
         -> Result<decltype(extract(json()))>
--- a/src/log/client.h
+++ b/src/log/client.h
@@ -11,27 +11,27 @@
 
 namespace Kumquatpick {
 
-// A record as the log keeps it: bytes that it does not look into.
+// A record as stored in the log, which does not interpret the body.
 struct RawRecord {
     Offset offset = 0;
-    WallTime time; // By the log's clock.
+    WallTime time; // Of the append, by the log service's clock.
     std::string body;
 };
 
 struct LogPage {
     Offset earliest = 0; // Records before this one have expired.
-    Offset next = 0; // Of the record that will be appended next.
+    Offset next = 0; // Offset that the next appended record will get.
     std::vector<RawRecord> records;
 };
 
-// The platform's log service over HTTP. Every call is one attempt, with no retry inside. Thread-safe.
+// HTTP client of the platform's log service. Each call makes one attempt and does not retry. Thread-safe.
 class LogClient {
 public:
     LogClient(Address, std::string_view log);
 
-    // Fails with Unreachable only if nothing was sent; after Timeout or BrokenOff the record may be in the log.
+    // Unreachable means that nothing was sent; after Timeout or BrokenOff the record may be in the log.
     Result<Offset> append(std::string_view body, Milliseconds timeout) const;
-    // Waits up to `wait` for a record at `from`; timeout is for the answer after that.
+    // Long poll: waits up to `wait` for a record at `from`. The timeout for the answer starts after that.
     Result<LogPage> read(Offset from, uint32_t limit, Milliseconds wait, Milliseconds timeout) const;
 
     const Address& address() const { return m_address; }
--- a/src/log/folder.cpp
+++ b/src/log/folder.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-    // Every record's time would be a large map for a small use.
+    // Times are kept for every 64th record only, to keep the map small.
     constexpr Offset timeEvery = 64;
 
     std::optional<Record> readRecord(const RawRecord& raw)
     {
         auto record = settle([&] { return decodeRecord(raw.body); });
         if (auto* error = std::get_if<Error>(&record)) {
-            logLine(LogLevel::Error, "skipped a record that can't be read",
+            logLine(LogLevel::Error, "skipped an unreadable log record",
                 { { "offset", raw.offset }, { "detail", error->detail } });
             return std::nullopt;
         }
@@ -31,10 +31,11 @@
 {
     if (page.next < next())
         return fail({ ErrorCode::Stale, Step::LogRead, {},
-            fmt::format("the log ends at {}, but {} was read before", page.next, next()) });
+            fmt::format("the log has lost records: it ends before offset {}, but the next offset to read is {}",
+                page.next, next()) });
     m_earliest = page.earliest;
     if (page.earliest > next()) {
-        // A hole: this reader starts late, or was away for longer than records are kept.
+        // Records are missing: this reader is new, or was disconnected for longer than records are retained.
         m_starting = true;
         m_keptBack.clear();
         m_keptBackNext = page.earliest;
@@ -65,13 +66,13 @@
         startFrom(*whole, step);
 }
 
-// Restores the state and folds the records after it that were kept back. What was known before can only be
-// older; an adopted text, which may be newer than the snapshot, is carried over.
+// Restores the state and applies the buffered records after it. The previous state can only be older, except for
+// an adopted configuration, which may be newer than the snapshot and is carried over.
 void LogFolder::startFrom(const SnapshotProposal& snapshot, FoldStep& step)
 {
     auto restored = settle([&] { return State::restore(snapshot); });
     if (auto* error = std::get_if<Error>(&restored)) {
-        logError("a snapshot in the log can't be read", *error);
+        logError("cannot read a snapshot in the log", *error);
         return;
     }
     State state = std::get<State>(std::move(restored));
@@ -102,7 +103,7 @@
     noteTime(raw);
 }
 
-// Keeps the time of the first uncovered record, or of a kept one just before it, which errs on the early side.
+// Keeps the time of the first uncovered record, or of a sampled record before it, which makes the time too early.
 void LogFolder::noteTime(const RawRecord& raw)
 {
     if (m_times.empty() || raw.offset % timeEvery == 0)
--- a/src/log/folder.h
+++ b/src/log/folder.h
@@ -10,7 +10,7 @@
 
 namespace Kumquatpick {
 
-// A record that was folded, with what became of it.
+// A record that was applied to the state, with its verdict.
 struct FoldedRecord {
     LoggedRecord logged;
     Verdict verdict = Verdict::Accepted;
@@ -18,27 +18,27 @@
 
 struct FoldStep {
     std::vector<FoldedRecord> folded;
-    bool restored = false; // The state came from a snapshot: records before it were not seen one by one.
+    bool restored = false; // The state was restored from a snapshot, so the records that it covers are not in `folded`.
 };
 
-// Turns pages of the log into the state, starting from a snapshot where the first records have expired.
-// Free of sockets and clocks. Not thread-safe.
+// Applies pages of the log to the state, starting from a snapshot if the first records have expired.
+// Uses no sockets and no clocks. Not thread-safe.
 class LogFolder {
 public:
-    // Where to read on.
+    // Offset of the next record to read.
     Offset next() const;
-    // Fails with Stale if the log ends before what was folded already: it lost records, and going on would
-    // revert what was accepted. Nothing is changed then.
+    // Fails with Stale and changes nothing if the log ends before records that were applied already: it has lost
+    // records, and applying what is left would revert accepted changes.
     Result<FoldStep> add(const LogPage&);
 
-    // Whether the state is whole; before that there is nothing to go by.
+    // Whether the state is complete. Until a snapshot has been found, the state must not be used.
     bool whole() const { return !m_starting; }
     const State& state() const { return m_state; }
     State& state() { return m_state; }
 
-    // Time of the first record that no snapshot covers; nothing if there is none.
+    // Time of the first record that no snapshot covers; nullopt if there is none.
     std::optional<WallTime> oldestNeeded() const;
-    // A record that no snapshot covers is gone from the log.
+    // Whether a record that no snapshot covers has expired.
     bool uncoveredExpired() const { return m_earliest > m_state.snapshotCovers() + 1; }
 
 private:
@@ -49,12 +49,12 @@
 
     State m_state;
     Offset m_earliest = 1;
-    // While true, records are kept back until a snapshot is found that reaches up to the first of them.
+    // While true, records are buffered until a snapshot is found that reaches up to the first of them.
     bool m_starting = false;
     std::vector<RawRecord> m_keptBack;
     Offset m_keptBackNext = 0;
     SnapshotAssembler m_assembler;
-    std::map<Offset, WallTime> m_times; // Of some records not covered by a snapshot; always of the first one.
+    std::map<Offset, WallTime> m_times; // Of some records that no snapshot covers, always including the first.
 };
 
 } // namespace Kumquatpick
--- a/src/log/reader.cpp
+++ b/src/log/reader.cpp
@@ -20,7 +20,7 @@
     m_thread = std::thread([this] { run(); });
 }
 
-// A long poll in progress is waited for, so this takes up to its wait.
+// Waits for a long poll in progress, so it can take as long as settings.wait and the timeout.
 void LogReader::stop()
 {
     m_stopping = true;
@@ -33,7 +33,7 @@
 {
     uint32_t failures = 0;
     while (!m_stopping) {
-        // Only a reader that is up to date has anything to wait for.
+        // Long polling makes sense only when all existing records have been read.
         bool wait = m_ready && failures == 0;
         failures = readOnce(wait ? m_settings.wait : Milliseconds(0)) ? 0 : failures + 1;
         if (failures != 1)
@@ -89,7 +89,7 @@
     }
 }
 
-// Full jitter: after an outage the nodes do not come back in step.
+// Jitter keeps the nodes from reconnecting all at once after an outage.
 void LogReader::backOff(uint32_t failures)
 {
     auto longest = std::min(m_settings.backoffLongest, m_settings.backoffFirst * (1U << std::min(failures, 10U)));
--- a/src/log/reader.h
+++ b/src/log/reader.h
@@ -15,22 +15,22 @@
 
 namespace Kumquatpick {
 
-// What a part of the node hears of the log, on the reader's thread, in offset order, with no lock held.
+// Callbacks for log records, called on the reader's thread in offset order, with no lock held.
 struct LogSubscriber {
     std::function<void(const FoldedRecord&, MonotonicTime readAt)> folded;
-    // The state was restored from a snapshot: look at all of it anew.
+    // The state was restored from a snapshot, so anything derived from it must be rebuilt.
     std::function<void(MonotonicTime readAt)> restored;
 };
 
-// One thread that reads the log and folds it. The state is lent out under a shared lock and never copied: at
-// 12,000 claims a copy takes some ten milliseconds, and an immutable copy for each record or even each tick
-// would cost more than the fold itself.
+// Reads the log on one thread and applies it to the state. The state is accessed under a shared lock and never
+// copied: at 12,000 claims a copy takes some ten milliseconds, and an immutable copy for each record or even each
+// tick would cost more than applying the records.
 class LogReader {
 public:
     struct Settings {
         uint32_t pageRecords = 512;
-        Milliseconds wait { 2'000 }; // Of a long poll.
-        Milliseconds timeout { 1'500 }; // Beyond the wait.
+        Milliseconds wait { 2'000 }; // Of a long poll at the log service.
+        Milliseconds timeout { 1'500 }; // For the answer, after the wait.
         Milliseconds backoffFirst { 50 };
         Milliseconds backoffLongest { 2'000 };
     };
@@ -40,33 +40,33 @@
     LogReader(const LogReader&) = delete;
     LogReader& operator=(const LogReader&) = delete;
 
-    // Subscribers are named before start().
+    // Must be called before start().
     void subscribe(LogSubscriber);
     void start();
     void stop();
 
-    // Runs use(const State&) under a shared lock; keep it short, as the fold waits meanwhile.
+    // Calls use(const State&) under a shared lock. It must be short, as it blocks the reader thread.
     template <typename Use> auto withState(Use&& use) const
     {
         std::shared_lock lock(m_stateMutex);
         return use(m_folder.state());
     }
 
-    // False after two failed reads in a row: a single broken connection is no outage.
+    // False after two failed reads in a row: a single broken connection does not count as an outage.
     bool reachable() const { return m_reachable; }
-    // Whether the state is whole and was once at the log's end.
+    // Whether the state is complete and has reached the log's end once.
     bool ready() const { return m_ready; }
     Offset offset() const { return m_offset; }
 
-    // Waits until the predicate holds; it is tried after each read and failure. False at the deadline.
+    // Waits until the predicate holds, checking it after each read or failure. Returns false at the deadline.
     bool waitUntil(const std::function<bool()>& predicate, MonotonicTime deadline) const;
-    // For a caller that changed what predicates look at.
+    // For callers that changed something that predicates of waitUntil() depend on.
     void wakeWaiters() const;
 
-    // A text from a peer; says whether it was news.
+    // Adopts a configuration received from a peer. Returns whether it was newer than the current one.
     bool adoptConfig(Offset version, std::string_view text);
 
-    // What the duty to append a snapshot goes by.
+    // Used to decide whether a snapshot is due.
     struct SnapshotNeed {
         Offset snapshotCovers = 0;
         std::optional<WallTime> oldestNeeded;
@@ -85,7 +85,7 @@
 
     LogClient m_client;
     Settings m_settings;
-    Random m_random; // Used by the thread only.
+    Random m_random; // Used by the reader thread only.
     std::vector<LogSubscriber> m_subscribers;
 
     mutable std::shared_mutex m_stateMutex;
--- a/src/main/kumquatpick.cpp
+++ b/src/main/kumquatpick.cpp
@@ -8,7 +8,7 @@
 int main(int argc, char** argv)
 {
     using namespace Kumquatpick;
-    // A reader that closes the pipe early (`| head`) is no reason to die half way through a request.
+    // If a reader closes the pipe early (`| head`), the tool must not be killed in the middle of a request.
     std::signal(SIGPIPE, SIG_IGN);
     std::vector<std::string> arguments(argv + 1, argv + argc);
     ToolContext context { std::cin, std::cout, std::cerr, processEnvironment };
--- a/src/main/kumquatpickd.cpp
+++ b/src/main/kumquatpickd.cpp
@@ -9,9 +9,10 @@
 using namespace Kumquatpick;
 
 constexpr int exitFailed = 1;
-constexpr int exitCutOff = 3; // A stop that had to cut requests off.
+constexpr int exitCutOff = 3; // The stop timeout expired with requests still in flight.
 
-// Blocked in every thread, so that only sigwait() sees them; a broken connection is an error, not a signal.
+// Blocks the stop signals in every thread, so that only sigwait() receives them. SIGPIPE is ignored, as writes to
+// a broken connection return an error.
 sigset_t blockSignals()
 {
     sigset_t signals;
@@ -29,7 +30,7 @@
     setLogLevel(settings.logLevel);
     auto started = settle([&] { return Daemon::start(settings); });
     if (auto* error = std::get_if<Error>(&started)) {
-        logError("start failed", *error);
+        logError("failed to start", *error);
         return exitFailed;
     }
     auto& daemon = *std::get<std::unique_ptr<Daemon>>(started);
--- a/src/membership/client.cpp
+++ b/src/membership/client.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr int httpOk = 200;
-    constexpr size_t largestBody = 128 << 20; // A hundred thousand hosts are about 25 MB.
+    constexpr size_t largestBody = 128 << 20; // 100,000 hosts take about 25 MB.
 
     Error readError(httplib::Error code, const Address& address)
     {
@@ -82,11 +82,11 @@
     auto settled = settle([&] { return fetch(); });
     if (const Error* error = std::get_if<Error>(&settled)) {
         if (!std::exchange(m_isFailing, true))
-            logError("the membership list can't be read; the last one stays", *error);
+            logError("cannot read the membership list; keeping the last one", *error);
         return;
     }
     if (std::exchange(m_isFailing, false))
-        logLine(LogLevel::Info, "the membership list can be read again");
+        logLine(LogLevel::Info, "reading the membership list succeeded again");
     auto next = std::make_shared<const MembershipSnapshot>(std::move(std::get<0>(settled)));
     std::shared_ptr<const MembershipSnapshot> previous;
     {
@@ -98,7 +98,7 @@
         m_listener(*next);
 }
 
-// The library's timeouts are for single reads; the receiver ends a list that trickles in.
+// The library's timeouts apply to single socket reads; the content receiver enforces the total timeout.
 Result<MembershipSnapshot> MembershipClient::fetch() const
 {
     MonotonicTime askedAt = monotonicNow();
--- a/src/membership/client.h
+++ b/src/membership/client.h
@@ -18,25 +18,25 @@
 struct MembershipSettings {
     Address address;
     Milliseconds period { 500 };
-    Milliseconds timeout { 2000 }; // Of one read.
+    Milliseconds timeout { 2000 }; // For one read of the list.
 };
 
-// Reads the platform's list once a period on a thread of its own. While the list can't be read the last good
-// one stays, and grows older. Thread-safe.
+// Reads the platform's membership list once per period on its own thread. While the list cannot be read, the last
+// one that was read is kept and its age increases. Thread-safe.
 class MembershipClient {
 public:
     using Listener = std::function<void(const MembershipSnapshot&)>;
 
-    // The listener is called on the client's thread with the first list and whenever hosts or entries differ
-    // from the last one; an empty one is not called.
+    // The listener is called on the client's thread with the first list and whenever backend servers or entry nodes
+    // differ from the previous list. It may be empty.
     MembershipClient(TimerService&, MembershipSettings, Listener);
     ~MembershipClient();
     MembershipClient(const MembershipClient&) = delete;
     MembershipClient& operator=(const MembershipClient&) = delete;
 
-    // The last good list; nullptr before the first.
+    // The last list that was read; nullptr before the first.
     std::shared_ptr<const MembershipSnapshot> snapshot() const;
-    // Time since the last good list was asked for; nothing before the first.
+    // Time since the last list was requested; nullopt before the first.
     std::optional<std::chrono::nanoseconds> age(MonotonicTime now) const;
 
 private:
@@ -52,9 +52,9 @@
     std::shared_ptr<const MembershipSnapshot> m_snapshot;
     bool m_isDue = true;
     bool m_isStopping = false;
-    bool m_isFailing = false; // Of the client's thread: an outage is logged when it begins and ends.
+    bool m_isFailing = false; // Used by the client's thread only. An outage is logged when it begins and ends.
     std::thread m_thread;
-    TimerService::Subscription m_timer; // Last, as it goes first: no call comes into a client half gone.
+    TimerService::Subscription m_timer; // Last member, destroyed first: no callback on a partly destroyed client.
 };
 
 } // namespace Kumquatpick
--- a/src/membership/snapshot.cpp
+++ b/src/membership/snapshot.cpp
@@ -26,11 +26,11 @@
         constexpr int hexadecimal = 16;
         auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), value, hexadecimal);
         if (text.empty() || code != std::errc() || end != text.data() + text.size())
-            throw std::invalid_argument("not an incarnation: " + text);
+            throw std::invalid_argument("not a hexadecimal incarnation number: " + text);
         return value;
     }
 
-    // A state that we don't know is taken for leaving: such a host still stands but gets nothing new.
+    // An unknown state counts as leaving: the host is alive but gets no new work.
     bool isLeaving(const json& host) { return host.at("state").get<std::string>() != "live"; }
 
     ListedHost backendFrom(const json& host)
@@ -50,7 +50,7 @@
     {
         ListedEntry entry;
         host.at("host").get_to(entry.node.id.name);
-        // Who writes the list may not know it; the node itself tells its peers.
+        // Optional in the list; nodes learn the incarnations of their peers by gossip.
         if (host.contains("incarnation"))
             entry.node.id.incarnation = parseIncarnation(host.at("incarnation").get<std::string>());
         entry.node.zone = host.value("zone", "");
@@ -69,7 +69,7 @@
         for (const json& host : page.at("hosts")) {
             auto name = host.at("host").get<std::string>();
             if (!names.insert(name).second)
-                throw std::invalid_argument("listed twice: " + name);
+                throw std::invalid_argument("host is listed twice: " + name);
             auto role = host.at("role").get<std::string>();
             if (role == "backend")
                 snapshot.backends.push_back(backendFrom(host));
--- a/src/membership/snapshot.h
+++ b/src/membership/snapshot.h
@@ -11,7 +11,7 @@
 
 namespace Kumquatpick {
 
-// One of our own nodes by the platform's list.
+// An entry node in the platform's membership list.
 struct ListedEntry {
     NodeInfo node;
     bool leaving = false;
@@ -19,7 +19,7 @@
     bool operator==(const ListedEntry&) const = default;
 };
 
-// The platform's list as it was read last. It lags; a host gone from it is dead.
+// The platform's membership list as last read. The list may be outdated, but a host that was removed from it is dead.
 struct MembershipSnapshot {
     uint64_t revision = 0;
     std::vector<ListedHost> backends;
@@ -27,8 +27,8 @@
     MonotonicTime readAt {};
 };
 
-// Fails with Malformed if any host can't be read or is named twice: to leave one out would say that it is dead.
-// Hosts of roles that we don't know are left out.
+// Fails with Malformed if any host is unreadable or listed twice: skipping it would mark the host as dead.
+// Hosts with unknown roles are skipped.
 Result<MembershipSnapshot> parseMembership(std::string_view json, MonotonicTime readAt);
 
 } // namespace Kumquatpick
--- a/src/operator/daemonsettings.cpp
+++ b/src/operator/daemonsettings.cpp
@@ -51,18 +51,18 @@
             {
                 { .flag = "caller-listen",
                     .into = &s.callerListen,
-                    .help = "Where callers and operators are served (HTTP).",
+                    .help = "Address to listen on for callers and operators (HTTP).",
                     .required = true },
                 { .flag = "caller-advertised",
                     .into = &advertised.caller,
-                    .help = "What callers are told to call; as --caller-listen if not set." },
+                    .help = "Address that callers are given for this node; defaults to --caller-listen." },
                 { .flag = "peer-listen",
                     .into = &s.peerListen,
-                    .help = "Where other nodes are served (Cap'n Proto).",
+                    .help = "Address to listen on for other nodes (Cap'n Proto).",
                     .required = true },
                 { .flag = "peer-advertised",
                     .into = &advertised.peer,
-                    .help = "What other nodes are told to call; as --peer-listen if not set." },
+                    .help = "Address that other nodes are given for this node; defaults to --peer-listen." },
             } };
     }
 
@@ -72,31 +72,32 @@
             {
                 { .flag = "log-service",
                     .into = &s.logService,
-                    .help = "The platform's log service.",
+                    .help = "Address of the platform's log service.",
                     .required = true },
                 { .flag = "log-name",
                     .into = &s.logName,
-                    .help = "The log of this deployment; one log, one deployment.",
+                    .help = "Name of the log of this deployment; each deployment needs a log of its own.",
                     .accepts = isPlainName,
                     .expected = expectedName },
                 { .flag = "log-retention-s",
                     .into = &s.logRetention,
-                    .help = "How long the log service keeps a record; snapshots are appended well before.",
+                    .help
+                    = "How long the log service retains a record; snapshots are appended well before records expire.",
                     .lowest = 60,
                     .highest = longestRetentionS },
                 { .flag = "snapshot-every",
                     .into = &s.snapshotEvery,
-                    .help = "A snapshot is appended after this many records, if it is not due by time before.",
+                    .help = "Number of records after which a snapshot is appended, unless one is due earlier by time.",
                     .unit = "records",
                     .lowest = 10,
                     .highest = 100'000'000 },
                 { .flag = "membership",
                     .into = &s.membership,
-                    .help = "The platform's membership list.",
+                    .help = "Address of the platform's membership list.",
                     .required = true },
                 { .flag = "weight-store",
                     .into = &s.weightStore,
-                    .help = "Where engines are told to load weights from.",
+                    .help = "Address that engines load weights from.",
                     .required = true },
             } };
     }
@@ -107,25 +108,25 @@
             {
                 { .flag = "caller-threads",
                     .into = &s.callerThreads,
-                    .help = "Threads that serve callers; each request or stream takes one.",
+                    .help = "Threads that serve callers; each request or stream occupies one.",
                     .unit = "threads",
                     .lowest = 1,
                     .highest = mostThreads },
                 { .flag = "backend-threads",
                     .into = &s.backendThreads,
-                    .help = "Threads that call backend servers; each request or stream takes one.",
+                    .help = "Threads that call backend servers; each request or stream occupies one.",
                     .unit = "threads",
                     .lowest = 1,
                     .highest = mostThreads },
                 { .flag = "max-body-bytes",
                     .into = &s.maxBodyBytes,
-                    .help = "Longest request body taken.",
+                    .help = "Maximum size of a request body.",
                     .unit = "bytes",
                     .lowest = 1024,
                     .highest = 1024 * 1024 * 1024 },
                 { .flag = "read-timeout-ms",
                     .into = &s.readTimeout,
-                    .help = "How long a caller may pause while it sends a request.",
+                    .help = "How long a caller may pause while sending a request.",
                     .lowest = 10,
                     .highest = longestTimeoutMs },
                 { .flag = "key-retention-s",
@@ -136,12 +137,12 @@
                     .highest = longestRetentionS },
                 { .flag = "answer-retention-s",
                     .into = &s.answerRetention,
-                    .help = "How long a finished answer is kept for a caller that asks again.",
+                    .help = "How long a finished answer is kept for a caller that repeats the request.",
                     .lowest = 0,
                     .highest = longestRetentionS },
                 { .flag = "answer-bytes",
                     .into = &s.answerBytes,
-                    .help = "Memory for all kept answers together; the oldest go first.",
+                    .help = "Memory for all kept answers together; the oldest are evicted first.",
                     .unit = "bytes",
                     .highest = 1024ULL * 1024 * 1024 * 1024 },
             } };
@@ -153,27 +154,27 @@
             {
                 { .flag = "probe-period-ms",
                     .into = &s.probePeriod,
-                    .help = "Between probes of one backend server.",
+                    .help = "Interval between probes of one backend server.",
                     .lowest = 10,
                     .highest = longestPeriodMs },
                 { .flag = "probe-lifetime-ms",
                     .into = &s.probeLifetime,
-                    .help = "A host counts as missing when its latest answer is older.",
+                    .help = "A host counts as missing when its latest probe answer is older than this.",
                     .lowest = 10,
                     .highest = longestPeriodMs },
                 { .flag = "engine-order-timeout-ms",
                     .into = &s.engineOrderTimeout,
-                    .help = "How long one order to an engine may take to be answered.",
+                    .help = "How long an engine may take to answer an order.",
                     .lowest = 10,
                     .highest = longestTimeoutMs },
                 { .flag = "gossip-period-ms",
                     .into = &s.gossipPeriod,
-                    .help = "Between exchanges with other nodes.",
+                    .help = "Interval between gossip exchanges with other nodes.",
                     .lowest = 10,
                     .highest = longestPeriodMs },
                 { .flag = "lease-ms",
                     .into = &s.lease,
-                    .help = "Length of the controller's lease; another node takes over when it has lapsed.",
+                    .help = "Duration of the controller's lease; another node takes over when it has expired.",
                     .lowest = 5'000,
                     .highest = longestTimeoutMs },
             } };
@@ -185,12 +186,14 @@
             {
                 { .flag = "stop-timeout-s",
                     .into = &s.stopTimeout,
-                    .help = "How long a planned stop waits for requests in flight; 0 waits for all of them.",
+                    .help = "How long a planned stop waits for requests in flight; 0 waits without a limit.",
                     .highest = longestRetentionS },
                 { .flag = "trace-file",
                     .into = &s.traceFile,
-                    .help = "Where spans are appended as OTLP JSON lines; empty writes none." },
-                { .flag = "log-level", .into = &s.logLevel, .help = "Lowest level of the lines on standard error." },
+                    .help = "File that spans are appended to as OTLP JSON lines; empty for no traces." },
+                { .flag = "log-level",
+                    .into = &s.logLevel,
+                    .help = "Minimum level of the log lines on standard error." },
             } };
     }
 
@@ -203,16 +206,17 @@
 
     bool isAnyAddress(const Address& address) { return address.ip == "0.0.0.0" || address.ip == "::"; }
 
-    // An address that others are told must be one that they can call.
+    // An advertised address must be one that others can connect to.
     void advertise(std::string_view kind, const std::optional<Address>& given, const Address& listen, Address& into,
         std::vector<std::string>& faults)
     {
         into = given.value_or(listen);
         if (isAnyAddress(into))
-            faults.push_back(fmt::format(
-                "--{0}-advertised: required when --{0}-listen is {1}, as nobody can call {1}", kind, listen.ip));
+            faults.push_back(
+                fmt::format("--{0}-advertised: required when --{0}-listen is {1}, as others cannot connect to {1}",
+                    kind, listen.ip));
         else if (given && given->port == 0)
-            faults.push_back(fmt::format("--{}-advertised: a port above 0 is needed", kind));
+            faults.push_back(fmt::format("--{}-advertised: the port must be above 0", kind));
     }
 
     std::vector<std::string> complete(DaemonSettings& s, const Advertised& advertised)
@@ -221,12 +225,12 @@
         advertise("caller", advertised.caller, s.callerListen, s.callerAdvertised, faults);
         advertise("peer", advertised.peer, s.peerListen, s.peerAdvertised, faults);
         if (s.callerListen == s.peerListen && s.callerListen.port != 0)
-            faults.emplace_back("--peer-listen: another port than that of --caller-listen is needed");
+            faults.emplace_back("--peer-listen: must differ from --caller-listen");
         if (s.probeLifetime < 2 * s.probePeriod)
-            faults.emplace_back("--probe-lifetime-ms: at least twice --probe-period-ms is needed, or a single lost "
-                                "probe takes a replica out");
+            faults.emplace_back("--probe-lifetime-ms: must be at least twice --probe-period-ms, or a single lost "
+                                "probe makes a replica unavailable");
         if (s.answerRetention > s.keyRetention)
-            faults.emplace_back("--answer-retention-s: at most --key-retention-s makes sense, as an answer is found by "
+            faults.emplace_back("--answer-retention-s: must be at most --key-retention-s, as an answer is looked up by "
                                 "its key");
         return faults;
     }
--- a/src/operator/daemonsettings.h
+++ b/src/operator/daemonsettings.h
@@ -14,16 +14,16 @@
 
 namespace Kumquatpick {
 
-// What one daemon is told at its start. docs/CONFIGURATION.md says what each setting is for.
+// Command-line settings of the daemon. docs/CONFIGURATION.md describes each setting.
 struct DaemonSettings {
     std::string name;
     std::string zone;
     std::string region;
 
     Address callerListen;
-    Address callerAdvertised; // As callerListen unless set.
+    Address callerAdvertised; // Defaults to callerListen.
     Address peerListen;
-    Address peerAdvertised; // As peerListen unless set.
+    Address peerAdvertised; // Defaults to peerListen.
 
     Address logService;
     std::string logName = "kumquatpick";
@@ -43,20 +43,20 @@
 
     std::chrono::seconds keyRetention { 3600 };
     std::chrono::seconds answerRetention { 600 };
-    uint64_t answerBytes = 64 * 1024 * 1024; // Of all kept answers together.
-    std::chrono::seconds logRetention { 86'400 }; // How long the log service keeps a record.
-    uint64_t snapshotEvery = 10'000; // Records.
+    uint64_t answerBytes = 64 * 1024 * 1024; // Total size of all kept answers.
+    std::chrono::seconds logRetention { 86'400 }; // How long the log service retains a record.
+    uint64_t snapshotEvery = 10'000; // In records.
 
-    std::chrono::seconds stopTimeout { 0 }; // 0: waits for all requests in flight.
+    std::chrono::seconds stopTimeout { 0 }; // 0: waits for all requests in flight, without a limit.
     std::string traceFile; // Empty: no traces.
     LogLevel logLevel = LogLevel::Info;
 };
 
-// Arguments without the program's name.
+// The arguments don't include the program name.
 std::variant<DaemonSettings, SettingsExit> parseDaemonSettings(
     std::span<const std::string> arguments, const Environment& = processEnvironment);
 
-// Every flag with the text of `--help`, for checks of the operators' page.
+// All flags and the text of `--help`, used to check that the documentation is complete.
 struct DaemonSettingsHelp {
     std::vector<std::string> flags; // "--name"
     std::vector<std::string> variables; // "KUMQUATPICK_NAME"
--- a/src/operator/dependencies.cpp
+++ b/src/operator/dependencies.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-    constexpr std::ptrdiff_t longestShownCycle = 8; // Services; a fault stays readable.
+    constexpr std::ptrdiff_t longestShownCycle = 8; // In services, to keep the message readable.
 
     enum class Visit : uint8_t {
         NotYet,
-        OnPath, // Its dependencies are being followed now.
+        OnPath, // Its dependencies are being visited.
         Done,
     };
 
-    // A depth-first walk: an edge to a service that is still on the path closes a cycle.
+    // Depth-first search: an edge to a service that is still on the path closes a cycle.
     class CycleSearch {
     public:
         explicit CycleSearch(std::span<const ServiceText> services)
@@ -40,7 +40,7 @@
         }
 
     private:
-        // Recursion is bounded by the number of services that a text may have.
+        // The recursion depth is bounded by the maximum number of services in a configuration.
         void follow(size_t service)
         {
             m_visits[service] = Visit::OnPath;
@@ -58,7 +58,8 @@
             const std::string& target = m_services[service].dependsOn[index];
             auto found = m_indexes.find(target);
             if (found == m_indexes.end())
-                m_faults.push_back({ service, index, fmt::format("a service of this text; there is no '{}'", target) });
+                m_faults.push_back(
+                    { service, index, fmt::format("a service of this configuration; there is no '{}'", target) });
             else if (m_visits[found->second] == Visit::OnPath)
                 m_faults.push_back({ service, index, fmt::format("no cycle: {}", cycleTo(found->second)) });
             else if (m_visits[found->second] == Visit::NotYet)
--- a/src/operator/dependencies.h
+++ b/src/operator/dependencies.h
@@ -9,14 +9,15 @@
 
 struct ServiceText;
 
-// One entry of a service's dependsOn that can't stand.
+// An invalid entry of a service's dependsOn.
 struct DependencyFault {
     size_t service = 0;
     size_t index = 0; // In its dependsOn.
     std::string expected;
 };
 
-// Unknown services, and each dependency that closes a cycle. Empty names were reported elsewhere and are skipped.
+// Returns dependencies on unknown services and those that close a cycle. Empty names are skipped: the parser has
+// reported them already.
 std::vector<DependencyFault> dependencyFaults(std::span<const ServiceText>);
 
 } // namespace Kumquatpick
--- a/src/operator/tablereader.cpp
+++ b/src/operator/tablereader.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr size_t longestName = 63;
-    constexpr size_t mostNames = 1000; // In one array; each is compared with those before it.
+    constexpr size_t mostNames = 1000; // In one array. The check for duplicates takes quadratic time.
     constexpr double highestWeight = 1e6;
     constexpr std::string_view expectedName
         = "a name: 1 to 63 letters, digits, '-', '_' or '.', beginning with a letter or digit";
@@ -73,7 +73,7 @@
             faultAtElement(key, i, std::string(expectedName));
         else if (std::ranges::find(into, *value) != into.end())
             faultAtElement(key, i, fmt::format("each name once; '{}' is there already", *value));
-        // A faulty element keeps its place, so that indexes here and in the text agree.
+        // An invalid element becomes an empty name, so that the indexes stay those of the TOML array.
         into.push_back(value ? *value : std::string());
     }
 }
@@ -114,7 +114,7 @@
         value = decimal->get();
     else if (const auto* whole = node->as_integer())
         value = static_cast<double>(whole->get());
-    // Written so that a NaN fails.
+    // A NaN fails both comparisons.
     bool inRange = value <= highestWeight && (zeroAllowed ? value >= 0 : value > 0);
     if (inRange)
         into = value;
--- a/src/operator/tablereader.h
+++ b/src/operator/tablereader.h
@@ -17,14 +17,14 @@
 };
 
 enum class Presence : uint8_t {
-    Optional, // An absent key leaves the value as it was.
+    Optional, // If the key is absent, the value is left unchanged.
     Required,
 };
 
-// A name as it appears in headers, paths and metric labels: nothing in it needs quoting anywhere.
+// Whether a name can be used in headers, paths and metric labels without quoting.
 bool isPlainName(std::string_view);
 
-// Reads one table key by key and collects what is wrong with it. Values that are wrong stay untouched.
+// Reads a TOML table key by key and collects its faults. An invalid value leaves the output unchanged.
 class TableReader {
 public:
     TableReader(const toml::table&, std::string path, std::vector<TextFault>&);
@@ -33,22 +33,22 @@
     void names(std::string_view key, std::vector<std::string>& into, Presence);
     void number(std::string_view key, uint64_t& into, NumberRange, Presence);
     void number(std::string_view key, uint32_t& into, NumberRange, Presence);
-    // A finite weight; a share must be above zero too.
+    // Finite numbers: a weight is zero or more, a share is above zero.
     void weight(std::string_view key, double& into);
     void share(std::string_view key, double& into);
-    // One of two words; says whether it was the second.
+    // One of two words; isSecond is set to whether it was the second.
     void choice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond);
 
-    // Lets a key stand that is read elsewhere.
+    // Marks a key that is read elsewhere as known.
     void expect(std::string_view key);
-    // Refuses a key that means nothing here.
+    // Adds a fault if the table has a key that is not allowed here.
     void refuse(std::string_view key, std::string_view expected);
-    // Reports each key that nobody asked for.
+    // Adds a fault for each unknown key.
     void finish();
 
-    // A fault at a key's value, or at the table if the key is absent.
+    // Adds a fault at a key's value, or at the table if the key is absent.
     void faultAt(std::string_view key, std::string expected);
-    // A fault at one element of a key's array.
+    // Adds a fault at one element of a key's array.
     void faultAtElement(std::string_view key, size_t index, std::string expected);
 
 private:
--- a/src/operator/text.cpp
+++ b/src/operator/text.cpp
@@ -24,18 +24,18 @@
     constexpr NumberRange queueRange { 0, 1'000'000 };
     constexpr NumberRange streamLimitRange { 0, 10'000'000 };
 
-    // Keys that say something about loading a model or placing its hosts.
+    // Keys about loading a model or placing its hosts, which plain services do not have.
     constexpr std::string_view modelOnlyKeys[] = { "model", "model_version", "weights_bytes", "hosts_per_replica",
         "fencing", "group_downtime_weight", "stranded_weight" };
 
     using Faults = std::vector<TextFault>;
 
-    // toml++ nests one table for each part of a dotted key and frees them by recursion, so a line of a million
-    // dots would use up the stack. Short lines bound the depth.
+    // toml++ creates a nested table for each part of a dotted key and frees them recursively, so a line with a million
+    // dots would overflow the stack. The limit on the line length bounds the depth.
     std::optional<TextFault> tooLarge(std::string_view text)
     {
         if (text.size() > longestOperatorsText)
-            return TextFault { 1, 1, "", fmt::format("a text of at most {} bytes", longestOperatorsText) };
+            return TextFault { 1, 1, "", fmt::format("a configuration of at most {} bytes", longestOperatorsText) };
         uint32_t line = 1;
         while (!text.empty()) {
             size_t length = std::min(text.find('\n'), text.size());
@@ -95,7 +95,7 @@
         return team;
     }
 
-    // Refuses the second of two entries with one name.
+    // Reports entries whose name was used before.
     class UniqueNames {
     public:
         void add(const std::string& name, TableReader& reader)
@@ -108,7 +108,7 @@
         std::map<std::string, bool> m_seen;
     };
 
-    // Hands each table of an array such as [[service]] to a function.
+    // Calls a function with each table of an array such as [[service]].
     template <typename Use>
     void forEachTable(const toml::table& root, std::string_view key, size_t most, Faults& faults, Use&& use)
     {
@@ -177,7 +177,7 @@
         return text;
     }
 
-    // Sorted by place; a text that is wrong everywhere gets a list that a person can still read.
+    // Sorts the faults by position and limits their number, so that the list stays readable.
     void arrange(Faults& faults)
     {
         std::ranges::stable_sort(
@@ -229,7 +229,7 @@
     } catch (const toml::parse_error& error) {
         return Faults { faultAt(error.source(), "", fmt::format("TOML: {}", error.description())) };
     } catch (const std::exception& error) {
-        return Faults { { 1, 1, "", fmt::format("a readable text: {}", error.what()) } };
+        return Faults { { 1, 1, "", fmt::format("a readable configuration: {}", error.what()) } };
     }
 }
 
--- a/src/operator/text.h
+++ b/src/operator/text.h
@@ -10,13 +10,13 @@
 namespace Kumquatpick {
 
 enum class ServiceKind : uint8_t {
-    Model, // Replicas over several hosts, claimed and loaded by us.
-    Plain, // An application that the platform runs; we only route to it.
+    Model, // Replicas span one or more hosts, which kumquatpick claims and loads.
+    Plain, // An application run by the platform; kumquatpick only routes requests to it.
 };
 
 enum class FencingSupport : uint8_t {
     Checked, // The engine refuses an order with an older fencing number.
-    Ignored, // The engine obeys any order; only the issuer's own restraint protects it.
+    Ignored, // The engine executes any order, so only the sender can prevent outdated ones.
 };
 
 struct ServiceText {
@@ -24,11 +24,11 @@
     ServiceKind kind = ServiceKind::Model;
     std::string model;
     std::string modelVersion;
-    uint64_t weightsBytes = 0; // Of one host's part.
+    uint64_t weightsBytes = 0; // Per host of a replica.
     uint32_t hostsPerReplica = 1;
     uint32_t replicas = 0;
     std::vector<std::string> dependsOn;
-    uint32_t streamsPerReplica = 16; // Requests at once.
+    uint32_t streamsPerReplica = 16; // Concurrent requests.
     uint32_t queueLimit = 256; // Waiting requests per entry node.
     FencingSupport fencing = FencingSupport::Checked;
     double groupDowntimeWeight = 0.5;
@@ -40,12 +40,12 @@
 struct TeamText {
     std::string name;
     double share = 1; // Relative weight in fair queueing.
-    uint32_t streamLimit = 0; // Over all entry nodes; 0 is no limit.
+    uint32_t streamLimit = 0; // Concurrent requests over all entry nodes; 0 for no limit.
 
     bool operator==(const TeamText&) const = default;
 };
 
-// The one text by which operators drive the system.
+// The configuration of a deployment, as written by its operators.
 struct OperatorsText {
     std::string deployment;
     std::vector<std::string> zones;
@@ -57,9 +57,9 @@
     bool operator==(const OperatorsText&) const = default;
 };
 
-// One thing wrong with a text, placed so that an editor can jump to it.
+// A fault in a configuration, with its position in the file.
 struct TextFault {
-    uint32_t line = 0; // From 1.
+    uint32_t line = 0; // Line and column count from 1.
     uint32_t column = 0;
     std::string key; // "service[2].replicas"
     std::string expected; // "a whole number from 0 to 100000"
@@ -68,12 +68,12 @@
     bool operator==(const TextFault&) const = default;
 };
 
-// Bytes.
+// In bytes.
 constexpr size_t longestOperatorsText = 512 * 1024;
 constexpr size_t longestOperatorsLine = 1024;
 
-// Reads TOML; all faults are named at once, and unknown keys are faults. Pure and never throws: every
-// node reaches the same verdict on the same bytes.
+// Parses TOML. Reports all faults at once; unknown keys are faults. The result depends on the bytes only and nothing
+// is thrown, so that every node accepts or rejects the same configurations.
 std::variant<OperatorsText, std::vector<TextFault>> parseOperatorsText(std::string_view toml);
 
 } // namespace Kumquatpick
--- a/tests/log/fakelog.h
+++ b/tests/log/fakelog.h
@@ -14,7 +14,7 @@
 
 namespace Kumquatpick::Testing {
 
-// A log service in this process with the faults that its clients have to stand.
+// An in-process log service with fault injection.
 class FakeLog {
 public:
     FakeLog()
@@ -23,7 +23,7 @@
         m_server.Get("/v1/logs/(.+)", [this](const auto& request, auto& response) { read(request, response); });
         m_address = { "127.0.0.1", static_cast<uint16_t>(m_server.bind_to_any_port("127.0.0.1")) };
         m_thread = std::thread([this] { m_server.listen_after_bind(); });
-        // The server can't be stopped before it runs.
+        // stop() has no effect before the server is running.
         while (!m_server.is_running())
             std::this_thread::yield();
     }
@@ -37,7 +37,7 @@
 
     const Address& address() const { return m_address; }
 
-    // Answers nothing but errors, and lets go of waiting readers.
+    // While down, every request gets status 503, also the long polls in progress.
     void setDown(bool down)
     {
         std::lock_guard lock(m_mutex);
@@ -45,7 +45,7 @@
         m_changed.notify_all();
     }
 
-    // The next appends break off, after or before the record is kept.
+    // The connections of the next appends break, after or before the record is stored.
     void loseAnswers(int count) { m_answersToLose = count; }
     void loseAppends(int count) { m_appendsToLose = count; }
 
--- a/tests/log/folder_test.cpp
+++ b/tests/log/folder_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // A log with real snapshots at random places, and the state after each of its records.
+    // A random log with valid snapshots at random positions, and the state after each record.
     struct SnapshotLog {
         SnapshotLog()
         {
@@ -50,7 +50,7 @@
         std::vector<std::string> states;
     };
 
-    // Records expire while it reads, at any moment and by any number.
+    // Random numbers of records expire at random times during reading.
     RC_GTEST_PROP(LogFolder, AWholeStateIsTheOneAfterItsOffsetWhateverExpired, ())
     {
         SnapshotLog log;
@@ -69,7 +69,7 @@
             RC_ASSERT(earliest > 1);
     }
 
-    // What the duty keeps up: a covering snapshot that has not expired is always found.
+    // A snapshot that has not expired and covers all expired records is always found.
     RC_GTEST_PROP(LogFolder, StartsWhereverACoveringSnapshotIsLeft, ())
     {
         SnapshotLog log;
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -21,7 +21,7 @@
             ClaimProposal { "writers", "r" + host, "howrah", "d1", { host }, { 1 }, "kumquat", "1" } };
     }
 
-    // A reader with an appender, as one node has them.
+    // The log reader and appender of one node.
     struct NodeLog {
         explicit NodeLog(const FakeLog& log)
             : reader(LogClient(log.address(), "main"), { 512, 200ms, 1000ms, 5ms, 20ms }, 1)
@@ -102,7 +102,7 @@
         ASSERT_TRUE(node.becomesReady());
         log.loseAnswers(1);
         expectDecided(node.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
-        EXPECT_EQ(log.count("id-one"), 1u) << "it was found and not appended again";
+        EXPECT_EQ(log.count("id-one"), 1u) << "the record must be found in the log and not appended again";
         log.loseAppends(2);
         expectDecided(node.propose(claimRecord("id-two", "b")), 2, Verdict::Accepted);
         EXPECT_EQ(log.appendCalls, 4);
@@ -118,7 +118,7 @@
         ASSERT_TRUE(second.reaches(1));
         expectDecided(second.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
         EXPECT_EQ(log.appendCalls, 1);
-        // Two appends in flight at once: the second one is in the log, and folds to nothing.
+        // A second record with the same id, as by concurrent appends, is in the log but has no effect.
         log.put(encode(claimRecord("id-one", "b")));
         ASSERT_TRUE(second.reaches(2));
         EXPECT_EQ(second.reader.withState([](const State& state) { return state.holder("b"); }), nullptr);
@@ -132,8 +132,8 @@
         log.setDown(true);
         ASSERT_TRUE(node.seesOutage());
         int callsBefore = log.appendCalls;
-        expectUndecided(node.propose(claimRecord("id-one", "a"), 3600s)); // Returns long before its deadline.
-        EXPECT_EQ(log.appendCalls, callsBefore) << "nothing was sent";
+        expectUndecided(node.propose(claimRecord("id-one", "a"), 3600s)); // Fails without waiting for the deadline.
+        EXPECT_EQ(log.appendCalls, callsBefore) << "nothing may be sent while the log is unreachable";
         log.setDown(false);
         ASSERT_TRUE(node.becomesReady());
         expectDecided(node.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
@@ -168,7 +168,7 @@
         EXPECT_NE(node.reader.withState([](const State& state) { return state.holder("a"); }), nullptr);
     }
 
-    // Claims on h0, h1, ... and, where named, a snapshot of all before it, as a node would append it.
+    // Appends claims on h1, h2, ... and, at the given offsets, a snapshot of all records before it.
     void fill(FakeLog& log, State& state, Offset upTo, const std::set<Offset>& snapshotsAt)
     {
         while (state.offset() < upTo) {
@@ -207,12 +207,12 @@
         state.apply({ 8, stale });
         log.put(encode(stale));
         fill(log, state, 15, {});
-        log.expireBefore(6); // The snapshot at 8 covers up to 4: record 5 is missing.
+        log.expireBefore(6); // The snapshot at offset 8 covers records up to 4, so record 5 is missing.
         NodeLog node(log);
         EXPECT_TRUE(node.eventually([&] { return node.reader.reachable(); }));
         EXPECT_FALSE(node.reader.ready());
         EXPECT_EQ(node.reader.offset(), 0u);
-        fill(log, state, 18, { 16 }); // Another node does its duty.
+        fill(log, state, 18, { 16 }); // As if another node appended a newer snapshot.
         ASSERT_TRUE(node.becomesReady());
         ASSERT_TRUE(node.reaches(18));
         EXPECT_EQ(node.state(), state.snapshot());
@@ -255,7 +255,7 @@
             = settle([&] { return old.appender.appendSnapshot(random, monotonicNow() + patience, partBytes); });
         ASSERT_TRUE(std::holds_alternative<std::monostate>(appended));
         EXPECT_EQ(old.reader.snapshotNeed().snapshotCovers, 5u);
-        ASSERT_GT(old.reader.offset(), 7u) << "several parts";
+        ASSERT_GT(old.reader.offset(), 7u) << "the snapshot must have several parts";
         log.expireBefore(6);
         NodeLog fresh(log);
         ASSERT_TRUE(fresh.reaches(old.reader.offset()));
--- a/tests/membership/client_test.cpp
+++ b/tests/membership/client_test.cpp
@@ -27,7 +27,7 @@
         return fmt::format(R"({{"revision":{},"hosts":[{}]}})", revision, hosts);
     }
 
-    // The lists that a client told of.
+    // Collects the lists that a client passes to its listener.
     class Heard {
     public:
         MembershipClient::Listener listener()
@@ -53,7 +53,7 @@
         std::vector<MembershipSnapshot> m_lists;
     };
 
-    // Waits until the client has read a list that was asked for later.
+    // Waits until the client has read a list that it requested after the given time.
     void waitForRead(const MembershipClient& client, MonotonicTime after)
     {
         while (!client.snapshot() || client.snapshot()->readAt <= after)
@@ -81,7 +81,7 @@
     EXPECT_TRUE(snapshot.entries[0].leaving);
 }
 
-// A host left out is a host said to be dead, and its accelerators would go to another replica.
+// If an unreadable host were skipped, it would count as dead and its accelerators would be given to another replica.
 TEST(Membership, ListThatIsNotWhollyReadableIsRefusedWhole)
 {
     std::string noState = backend("h2");
@@ -112,7 +112,7 @@
     TimerService timer;
     MembershipClient client(timer, { server.address(), 5ms, 10s }, heard.listener());
     EXPECT_EQ(heard.wait(1).backends.size(), 1U);
-    server.answer(200, list(2, backend("h1"))); // Another revision of the same hosts.
+    server.answer(200, list(2, backend("h1"))); // Same hosts, new revision: no notification.
     waitForRead(client, monotonicNow());
     server.answer(200, list(3, backend("h1", "leaving")));
     EXPECT_TRUE(heard.wait(2).backends.at(0).leaving);
--- a/tests/membership/fakeserver.h
+++ b/tests/membership/fakeserver.h
@@ -2,7 +2,7 @@
 
 #include "base/address.h"
 
-// As Debian builds the library: the layout of its classes depends on these.
+// Must match Debian's build of the library: the layout of its classes depends on these macros.
 #ifndef CPPHTTPLIB_OPENSSL_SUPPORT
 #define CPPHTTPLIB_OPENSSL_SUPPORT
 #define CPPHTTPLIB_ZLIB_SUPPORT
@@ -15,7 +15,7 @@
 
 namespace Kumquatpick {
 
-// A server on a free loopback port that gives one answer to every GET.
+// An HTTP server on a free loopback port that returns the configured answer to every GET.
 class FakeServer {
 public:
     FakeServer()
--- a/tests/operator/examples_test.cpp
+++ b/tests/operator/examples_test.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-// The examples use every key between them.
+// Together, the examples use every key.
 TEST(Examples, EachKeyIsOnTheOperatorsPage)
 {
     const std::string page = readFile(root() / "docs/CONFIGURATION.md");
--- a/tests/operator/text_test.cpp
+++ b/tests/operator/text_test.cpp
@@ -87,7 +87,7 @@
     struct Case {
         std::string_view from;
         std::string_view to;
-        std::string_view fault; // The start of its line.
+        std::string_view fault; // Expected start of the message.
     };
     constexpr Case cases[] = {
         { "name = \"bengal\"\n", "", "f:1:1: deployment.name: expected a name" },
@@ -102,7 +102,7 @@
         { "hosts_per_replica = 2", "hosts_per_replica = 0", "f:11:21: service[0].hosts_per_replica: expected a whole" },
         { "replicas = 60", "replicas = 60.5", "f:12:12: service[0].replicas: expected a whole number" },
         { "replicas = 60\n", "", "f:5:1: service[0].replicas: expected a whole number from 0 to 100000; the key" },
-        { "[\"desk\"]", "[\"desc\"]", "f:13:15: service[0].depends_on[0]: expected a service of this text" },
+        { "[\"desk\"]", "[\"desc\"]", "f:13:15: service[0].depends_on[0]: expected a service of this configuration" },
         { "[\"desk\"]", "[\"writers\"]", "f:13:15: service[0].depends_on[0]: expected no cycle: writers -> writers" },
         { "\"ignored\"", "true", "f:16:11: service[0].fencing: expected \"checked\" or \"ignored\"" },
         { "weight = 0.9", "weight = -0.1", "f:17:25: service[0].group_downtime_weight: expected a number not below 0" },
@@ -116,7 +116,7 @@
     for (const Case& one : cases) {
         std::vector<std::string> faults = faultsOf(replaced(one.from, one.to));
         bool found = std::ranges::any_of(faults, [&](const std::string& line) { return line.starts_with(one.fault); });
-        EXPECT_TRUE(found) << one.fault << "\nis not among\n" << fmt::format("{}", fmt::join(faults, "\n"));
+        EXPECT_TRUE(found) << one.fault << "\nnot found in\n" << fmt::format("{}", fmt::join(faults, "\n"));
     }
 }
 
@@ -149,7 +149,7 @@
             "service[1].depends_on[1]", "team[0].name", "team[0].share" }));
 }
 
-// Deep nesting once used up the stack when toml++ freed its tables.
+// Deeply nested tables overflowed the stack when toml++ freed them.
 TEST(OperatorsText, BoundsTheDepthOfDottedKeys)
 {
     std::string deep;
@@ -160,7 +160,8 @@
     EXPECT_EQ(faultsOf(std::string(longestOperatorsText + 1, '\n')).size(), 1U);
 }
 
-// 1,000 services in one ring, each depending on many others, would give gigabytes of faults if all were spelt out.
+// 1,000 services in one cycle, each with many dependencies, would give gigabytes of messages if all cycles were listed
+// in full.
 TEST(OperatorsText, KeepsFaultsReadable)
 {
     std::string text = "[deployment]\nname = \"d\"\nzones = [\"z\"]\n";
@@ -183,7 +184,8 @@
     RC_ASSERT(first == parseOperatorsText(text));
 }
 
-// Bytes of a good text replaced, cut out or doubled: always the same verdict, faults inside the text.
+// Replaces or removes random ranges of a valid configuration: parsing must be deterministic, and the positions of
+// faults must be inside the text.
 RC_GTEST_PROP(OperatorsTextProperty, MutationsGetTheSameVerdictTwice, ())
 {
     constexpr std::string_view pieces[] = { "\"", "[", "]", "=", "\n", ".", "-1", "1e400", "nan", "{", "}", "\\u0000",
