--- a/src/caller/collaborators.h
+++ b/src/caller/collaborators.h
@@ -4,7 +4,7 @@
 #include "base/ids.h"
 #include "coordination/slotservice.h"
 #include "node/transport.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <functional>
 #include <memory>
@@ -48,7 +48,7 @@
 
     Kind kind = Kind::Undecided;
     Offset version = 0; // The new one if accepted, the current one if outdated.
-    std::vector<TextFault> faults; // If invalid.
+    std::vector<ConfigFault> faults; // If invalid.
 };
 
 // What the caller-facing server works with. All of it is called from many threads at once and must outlive
@@ -73,7 +73,7 @@
     std::function<Result<StoredAnswer>(const NodeInfo&, const std::string& lookup)> fetchAnswer;
 
     // The accepted operators' text; nullptr while none is known: nothing is served then.
-    std::function<std::shared_ptr<const OperatorsText>()> text;
+    std::function<std::shared_ptr<const OperatorConfig>()> text;
     std::function<bool()> ready;
     std::function<std::vector<EntryNode>()> entryNodes; // This one included.
 
--- a/src/caller/pages.cpp
+++ b/src/caller/pages.cpp
@@ -93,10 +93,10 @@
         return PublishRequest { *id, *basedOn, *text, stringField(*object, "operator").value_or("") };
     }
 
-    json faultsJson(const std::vector<TextFault>& faults)
+    json faultsJson(const std::vector<ConfigFault>& faults)
     {
         json list = json::array();
-        for (const TextFault& fault : faults)
+        for (const ConfigFault& fault : faults)
             list.push_back({ { "line", fault.line }, { "column", fault.column }, { "key", fault.key },
                 { "expected", fault.expected } });
         return list;
--- a/src/caller/serve.cpp
+++ b/src/caller/serve.cpp
@@ -107,7 +107,7 @@
         return refusal(Outcome::NotRun, RefusalType::NotReady, Step::Accept, "this node is not ready");
     if (!m_text->team(m_request.team))
         return Refusal { Outcome::NotRun, RefusalType::UnknownTeam, "unknown team " + m_request.team };
-    const ServiceText* service = m_text->service(m_request.service);
+    const ServiceConfig* service = m_text->service(m_request.service);
     auto kind = m_request.kind == RequestKind::Chat ? ServiceKind::Model : ServiceKind::Plain;
     if (!service || service->kind != kind)
         return Refusal { Outcome::NotRun, RefusalType::UnknownService, "unknown service " + m_request.service };
--- a/src/caller/serving.h
+++ b/src/caller/serving.h
@@ -124,7 +124,7 @@
     RequestIdentity m_identity;
     CallerRequest m_request;
     MonotonicTime m_deadline {};
-    std::shared_ptr<const OperatorsText> m_text;
+    std::shared_ptr<const OperatorConfig> m_text;
     std::shared_ptr<RequestTrail> m_trail;
 
     bool m_begun = false; // The key is taken in the answer store.
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -11,25 +11,25 @@
 namespace {
 
     // The services with each one after those it depends on: what others need loads and recovers first.
-    std::vector<const ServiceText*> dependenciesFirst(const OperatorsText& text)
+    std::vector<const ServiceConfig*> dependenciesFirst(const OperatorConfig& text)
     {
-        std::vector<const ServiceText*> order;
+        std::vector<const ServiceConfig*> order;
         std::set<std::string_view> placed;
-        auto place = [&](auto& self, const ServiceText& service) -> void {
+        auto place = [&](auto& self, const ServiceConfig& service) -> void {
             if (!placed.insert(service.name).second)
                 return;
             for (const std::string& name : service.dependsOn) {
-                if (const ServiceText* dependency = text.service(name))
+                if (const ServiceConfig* dependency = text.service(name))
                     self(self, *dependency);
             }
             order.push_back(&service);
         };
-        for (const ServiceText& service : text.services)
+        for (const ServiceConfig& service : text.services)
             place(place, service);
         return order;
     }
 
-    bool matches(const ClaimProposal& claim, const ServiceText& service)
+    bool matches(const ClaimProposal& claim, const ServiceConfig& service)
     {
         return claim.model == service.model && claim.modelVersion == service.modelVersion
             && claim.hosts.size() == service.hostsPerReplica;
@@ -80,7 +80,7 @@
             freeHosts();
             findFreeDomains();
             finishMoves();
-            for (const ServiceText* service : m_services) {
+            for (const ServiceConfig* service : m_services) {
                 if (service->kind == ServiceKind::Model)
                     scale(*service, m_claims[service->name]);
             }
@@ -97,32 +97,32 @@
         void freeHosts();
         void freeHostsOf(const Claim&);
         void findFreeDomains();
-        void scale(const ServiceText&, ServiceClaims&);
-        void endSurplus(const ServiceText&, ServiceClaims&);
-        void makeRoom(const ServiceText&, ServiceClaims&, size_t missing);
-        bool claimOne(const ServiceText&);
-        bool claim(const ServiceText&, const Placement&, std::string replica, Offset replaces);
+        void scale(const ServiceConfig&, ServiceClaims&);
+        void endSurplus(const ServiceConfig&, ServiceClaims&);
+        void makeRoom(const ServiceConfig&, ServiceClaims&, size_t missing);
+        bool claimOne(const ServiceConfig&);
+        bool claim(const ServiceConfig&, const Placement&, std::string replica, Offset replaces);
         void finishMoves();
         void finish(const Move&, ServiceClaims&);
         void beginMoves();
         void countRoom();
-        void reserveRoom(const ServiceText&, size_t& unplaced);
+        void reserveRoom(const ServiceConfig&, size_t& unplaced);
         std::vector<const Claim*> movable();
         std::map<std::string, FreeDomain> spareDomains() const;
-        bool beginMove(const ServiceText&);
-        bool makesRoom(const ServiceText&, const Claim& moved, const Placement& to) const;
+        bool beginMove(const ServiceConfig&);
+        bool makesRoom(const ServiceConfig&, const Claim& moved, const Placement& to) const;
         bool recovers(const Claim&) const;
         bool recoveriesWait() const;
         bool movesYield() const;
-        bool usable(const ServiceText&, const Placement&) const;
-        std::string freeReplicaName(const ServiceText&);
+        bool usable(const ServiceConfig&, const Placement&) const;
+        std::string freeReplicaName(const ServiceConfig&);
         void unloadEnding();
         void loadHeld();
         bool started(const Claim&) const;
-        void load(const ServiceText&, const Claim&);
+        void load(const ServiceConfig&, const Claim&);
         bool takeLoads(size_t loads, bool started);
         bool mayOrder(const HostView&, Offset claim, FencingSupport) const;
-        void order(HostOrder::Kind, const Claim&, size_t rank, const ServiceText*);
+        void order(HostOrder::Kind, const Claim&, size_t rank, const ServiceConfig*);
         void end(const Claim&, std::string_view reason);
         bool propose(ControllerAction);
         FencingSupport fencingOf(const Claim&) const;
@@ -133,7 +133,7 @@
         LeaseTenure m_tenure;
         bool m_cutOff;
         ClaimHealth m_health;
-        std::vector<const ServiceText*> m_services;
+        std::vector<const ServiceConfig*> m_services;
         std::map<std::string, ServiceClaims, std::less<>> m_claims;
         std::map<std::string, std::set<std::string>, std::less<>> m_replicaNames; // By service.
         std::set<std::string_view> m_heldHosts;
@@ -177,7 +177,7 @@
 
     void Round::gatherHeld(const Claim& claim)
     {
-        const ServiceText* service = m_input.config->parsed.service(claim.proposal.service);
+        const ServiceConfig* service = m_input.config->parsed.service(claim.proposal.service);
         if (!service || service->kind != ServiceKind::Model)
             return end(claim, "service_removed");
         if (auto reason = m_health.broken(claim); !reason.empty()) {
@@ -212,7 +212,7 @@
     // The engines of a service that the text no longer names are held to be of the unsafe kind.
     FencingSupport Round::fencingOf(const Claim& claim) const
     {
-        const ServiceText* service = m_input.config->parsed.service(claim.proposal.service);
+        const ServiceConfig* service = m_input.config->parsed.service(claim.proposal.service);
         return service ? service->fencing : FencingSupport::Ignored;
     }
 
@@ -276,7 +276,7 @@
 
     // New replicas go onto free hosts beside outdated ones, which end as their successors become ready. Only
     // when no host is free are outdated ones ended first, a few at a time.
-    void Round::scale(const ServiceText& service, ServiceClaims& claims)
+    void Round::scale(const ServiceConfig& service, ServiceClaims& claims)
     {
         endSurplus(service, claims);
         size_t missing = service.replicas - std::min<size_t>(service.replicas, claims.current.size());
@@ -289,7 +289,7 @@
             claims.unplaced = missing;
     }
 
-    void Round::endSurplus(const ServiceText& service, ServiceClaims& claims)
+    void Round::endSurplus(const ServiceConfig& service, ServiceClaims& claims)
     {
         auto readyFirst = [&](const Claim* claim) { return m_health.ready(*claim); };
         std::stable_partition(claims.outdated.begin(), claims.outdated.end(), readyFirst);
@@ -312,7 +312,7 @@
         claims.moves.erase(kept, claims.moves.end());
     }
 
-    void Round::makeRoom(const ServiceText& service, ServiceClaims& claims, size_t missing)
+    void Round::makeRoom(const ServiceConfig& service, ServiceClaims& claims, size_t missing)
     {
         auto atOnce = std::max<size_t>(1, static_cast<size_t>(service.replicas * m_settings.rollingShare));
         size_t underWay = claims.ending + claims.current.size() - claims.readyCurrent;
@@ -323,7 +323,7 @@
     }
 
     // Whatever the placer's policy is, a replica's hosts are distinct, free, and in one domain.
-    bool Round::usable(const ServiceText& service, const Placement& placement) const
+    bool Round::usable(const ServiceConfig& service, const Placement& placement) const
     {
         auto domain = m_freeDomains.find(placement.domain);
         std::set<std::string_view> distinct(placement.hosts.begin(), placement.hosts.end());
@@ -336,7 +336,7 @@
         });
     }
 
-    std::string Round::freeReplicaName(const ServiceText& service)
+    std::string Round::freeReplicaName(const ServiceConfig& service)
     {
         auto& names = m_replicaNames[service.name];
         for (size_t number = 0;; ++number) {
@@ -346,7 +346,7 @@
         }
     }
 
-    bool Round::claimOne(const ServiceText& service)
+    bool Round::claimOne(const ServiceConfig& service)
     {
         if (m_proposals >= m_settings.proposalsPerRound)
             return false;
@@ -356,7 +356,7 @@
         return claim(service, *placement, freeReplicaName(service), 0);
     }
 
-    bool Round::claim(const ServiceText& service, const Placement& placement, std::string replica, Offset replaces)
+    bool Round::claim(const ServiceConfig& service, const Placement& placement, std::string replica, Offset replaces)
     {
         FreeDomain& domain = m_freeDomains[placement.domain];
         ClaimProposal claim { service.name, std::move(replica), domain.zone, placement.domain, placement.hosts, {},
@@ -397,10 +397,10 @@
         countRoom();
         for (const auto& [name, claims] : m_claims)
             m_moves += claims.moves.size();
-        for (const ServiceText* service : m_services)
+        for (const ServiceConfig* service : m_services)
             reserveRoom(*service, m_claims[service->name].unplaced);
         bool waiting = recoveriesWait();
-        for (const ServiceText* service : m_services) {
+        for (const ServiceConfig* service : m_services) {
             size_t& unplaced = m_claims[service->name].unplaced;
             while (unplaced > 0 && m_moves < m_rules.movesAtOnce(*service, waiting) && beginMove(*service))
                 --unplaced;
@@ -428,7 +428,7 @@
             m_room[name] += domain.hosts.size();
     }
 
-    void Round::reserveRoom(const ServiceText& service, size_t& unplaced)
+    void Round::reserveRoom(const ServiceConfig& service, size_t& unplaced)
     {
         for (auto& [domain, hosts] : m_room) {
             for (; unplaced > 0 && hosts >= service.hostsPerReplica; --unplaced)
@@ -459,7 +459,7 @@
         return domains;
     }
 
-    bool Round::beginMove(const ServiceText& service)
+    bool Round::beginMove(const ServiceConfig& service)
     {
         if (m_proposals >= m_settings.proposalsPerRound)
             return false;
@@ -470,7 +470,7 @@
         if (!move || !contains(candidates, move->claim))
             return false;
         const Claim& old = m_input.claims.at(move->claim);
-        const ServiceText& moved = *m_input.config->parsed.service(old.proposal.service);
+        const ServiceConfig& moved = *m_input.config->parsed.service(old.proposal.service);
         if (!usable(moved, move->to) || !makesRoom(service, old, move->to))
             return false;
         std::string name = successorName(old);
@@ -485,7 +485,7 @@
     // Whatever the mover's policy is, it leaves the domain that it makes room in, and takes no hosts that others count
     // on. So only a smaller replica ever moves, and no two make room for each other in turn: had any domain room left
     // for one as large as the service wants, that room would have been reserved for the service itself.
-    bool Round::makesRoom(const ServiceText& service, const Claim& moved, const Placement& to) const
+    bool Round::makesRoom(const ServiceConfig& service, const Claim& moved, const Placement& to) const
     {
         size_t size = moved.proposal.hosts.size();
         auto from = m_room.find(moved.proposal.domain);
@@ -508,7 +508,7 @@
     // It is the replica that is down whose weights say whether others wait for it.
     bool Round::movesYield() const
     {
-        return std::any_of(m_services.begin(), m_services.end(), [&](const ServiceText* service) {
+        return std::any_of(m_services.begin(), m_services.end(), [&](const ServiceConfig* service) {
             auto claims = m_claims.find(service->name);
             if (claims == m_claims.end() || !m_rules.recoveryLoadsFirst(*service))
                 return false;
@@ -526,7 +526,7 @@
             && m_health.settled(host, claim, fencing, m_tenure);
     }
 
-    void Round::order(HostOrder::Kind kind, const Claim& claim, size_t rank, const ServiceText* service)
+    void Round::order(HostOrder::Kind kind, const Claim& claim, size_t rank, const ServiceConfig* service)
     {
         const ClaimProposal& proposal = claim.proposal;
         m_actions.push_back(HostOrder { kind, proposal.hosts[rank], claim.offset, proposal.service, proposal.replica,
@@ -563,19 +563,19 @@
 
     void Round::loadHeld()
     {
-        for (const ServiceText* service : m_services) {
+        for (const ServiceConfig* service : m_services) {
             for (const Claim* claim : m_claims[service->name].current)
                 load(*service, *claim);
         }
         if (movesYield())
             return;
-        for (const ServiceText* service : m_services) {
+        for (const ServiceConfig* service : m_services) {
             for (const Move& move : m_claims[service->name].moves)
                 load(*service, *move.successor);
         }
     }
 
-    void Round::load(const ServiceText& service, const Claim& claim)
+    void Round::load(const ServiceConfig& service, const Claim& claim)
     {
         if (!m_health.whole(claim))
             return;
--- a/src/coordination/placer.h
+++ b/src/coordination/placer.h
@@ -18,8 +18,8 @@
 };
 
 struct PlacementQuestion {
-    const ServiceText& service;
-    const OperatorsText& text;
+    const ServiceConfig& service;
+    const OperatorConfig& text;
     const std::map<Offset, Claim>& claims;
     std::span<const ClaimProposal> proposed; // Earlier in the same round, not in claims yet.
     const std::map<std::string, FreeDomain>& freeDomains;
@@ -54,10 +54,10 @@
     Placer place;
     Mover move = [](const MoveQuestion&) { return std::nullopt; };
     // How many moves may run when one more for this service is begun.
-    std::function<size_t(const ServiceText&, bool recoveriesWait)> movesAtOnce
-        = [](const ServiceText&, bool) { return 0; };
+    std::function<size_t(const ServiceConfig&, bool recoveriesWait)> movesAtOnce
+        = [](const ServiceConfig&, bool) { return 0; };
     // Whether loads of moves wait while a replica of this service is down and loads.
-    std::function<bool(const ServiceText&)> recoveryLoadsFirst = [](const ServiceText&) { return true; };
+    std::function<bool(const ServiceConfig&)> recoveryLoadsFirst = [](const ServiceConfig&) { return true; };
 };
 
 // The baseline: the first domain with enough free hosts, its first hosts.
--- a/src/coordination/state.cpp
+++ b/src/coordination/state.cpp
@@ -15,8 +15,8 @@
 
     std::shared_ptr<const AcceptedConfig> parseAccepted(Offset version, std::string_view text)
     {
-        auto parsed = parseOperatorsText(text);
-        auto* whole = std::get_if<OperatorsText>(&parsed);
+        auto parsed = parseOperatorConfig(text);
+        auto* whole = std::get_if<OperatorConfig>(&parsed);
         if (!whole)
             return nullptr;
         return std::make_shared<const AcceptedConfig>(AcceptedConfig { version, std::move(*whole), std::string(text) });
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -2,7 +2,7 @@
 
 #include "coordination/record.h"
 #include "coordination/slottable.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <deque>
 #include <map>
@@ -17,7 +17,7 @@
 
 struct AcceptedConfig {
     Offset version = 0; // The offset of its record.
-    OperatorsText parsed;
+    OperatorConfig parsed;
     std::string text;
 };
 
--- a/src/daemon/configview.cpp
+++ b/src/daemon/configview.cpp
@@ -16,13 +16,13 @@
     if (config->version <= m_accepted.version)
         return;
     m_accepted = { config->version, config->text };
-    m_parsed = std::make_shared<OperatorsText>(config->parsed);
+    m_parsed = std::make_shared<OperatorConfig>(config->parsed);
     // Under the lock, so that listeners hear of versions in their order.
     if (m_listener)
         m_listener(*m_parsed);
 }
 
-std::shared_ptr<const OperatorsText> ConfigView::text() const
+std::shared_ptr<const OperatorConfig> ConfigView::text() const
 {
     std::lock_guard lock(m_mutex);
     return m_parsed;
--- a/src/daemon/configview.h
+++ b/src/daemon/configview.h
@@ -13,20 +13,20 @@
 class ConfigView {
 public:
     // Called with each newer text, on the thread that brought it.
-    using Listener = std::function<void(const OperatorsText&)>;
+    using Listener = std::function<void(const OperatorConfig&)>;
 
     void listen(Listener);
     // Older versions than the present one are ignored.
     void update(const AcceptedConfig*);
 
-    std::shared_ptr<const OperatorsText> text() const;
+    std::shared_ptr<const OperatorConfig> text() const;
     AcceptedText accepted() const;
     Offset version() const;
 
 private:
     mutable std::mutex m_mutex;
     Listener m_listener;
-    std::shared_ptr<const OperatorsText> m_parsed;
+    std::shared_ptr<const OperatorConfig> m_parsed;
     AcceptedText m_accepted;
 };
 
--- a/src/daemon/controllerloop.cpp
+++ b/src/daemon/controllerloop.cpp
@@ -72,7 +72,7 @@
     m_changed.wait(lock, [&] { return m_ordering.empty(); });
 }
 
-void ControllerLoop::folded(const FoldedRecord& record, MonotonicTime readAt)
+void ControllerLoop::folded(const AppliedRecord& record, MonotonicTime readAt)
 {
     std::lock_guard lock(m_mutex);
     m_lease.folded(record.logged, record.verdict, readAt);
--- a/src/daemon/controllerloop.h
+++ b/src/daemon/controllerloop.h
@@ -32,7 +32,7 @@
     ~ControllerLoop();
 
     // From the log reader's thread.
-    void folded(const FoldedRecord&, MonotonicTime readAt);
+    void folded(const AppliedRecord&, MonotonicTime readAt);
     void restored(const State&, MonotonicTime readAt);
 
     void start();
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -130,8 +130,8 @@
     // First of those with threads: the log and the list have things to tell it.
     cluster.start(*transport);
 
-    config.listen([this](const OperatorsText& text) { configChanged(text); });
-    reader.subscribe({ [this](const FoldedRecord& record, MonotonicTime readAt) { folded(record, readAt); },
+    config.listen([this](const OperatorConfig& text) { configChanged(text); });
+    reader.subscribe({ [this](const AppliedRecord& record, MonotonicTime readAt) { folded(record, readAt); },
         [this](MonotonicTime readAt) { restored(readAt); } });
     reader.start();
     membership = std::make_unique<MembershipClient>(timers, MembershipSettings { settings.membership },
@@ -145,7 +145,7 @@
     return callers->start();
 }
 
-void Daemon::Parts::folded(const FoldedRecord& record, MonotonicTime readAt)
+void Daemon::Parts::folded(const AppliedRecord& record, MonotonicTime readAt)
 {
     controller.folded(record, readAt);
     if (record.verdict != Verdict::Accepted)
@@ -198,7 +198,7 @@
     slotMembers.assign(members.begin(), members.end());
 }
 
-void Daemon::Parts::configChanged(const OperatorsText& text)
+void Daemon::Parts::configChanged(const OperatorConfig& text)
 {
     admission.configure(text);
     logLine(LogLevel::Info, "operators' text in force", { { "deployment", text.deployment } });
--- a/src/daemon/parts.h
+++ b/src/daemon/parts.h
@@ -44,9 +44,9 @@
     Result<void> start();
 
     // Wires: who calls them stands in parts.cpp where they are handed out.
-    void folded(const FoldedRecord&, MonotonicTime readAt);
+    void folded(const AppliedRecord&, MonotonicTime readAt);
     void restored(MonotonicTime readAt);
-    void configChanged(const OperatorsText&);
+    void configChanged(const OperatorConfig&);
     void listChanged(const MembershipSnapshot&);
     void listRead();
     void stopIfReplaced();
--- a/src/daemon/publisher.cpp
+++ b/src/daemon/publisher.cpp
@@ -26,8 +26,8 @@
 PublishOutcome publishText(
     LogAppender& appender, Offset currentVersion, const PublishRequest& request, MonotonicTime deadline)
 {
-    auto parsed = parseOperatorsText(request.text);
-    if (auto* faults = std::get_if<std::vector<TextFault>>(&parsed))
+    auto parsed = parseOperatorConfig(request.text);
+    if (auto* faults = std::get_if<std::vector<ConfigFault>>(&parsed))
         return { PublishOutcome::Kind::Invalid, 0, *faults };
     Record record { request.id, ConfigProposal { request.basedOn, request.text, request.operatorName } };
     auto decided = settle([&] { return appender.propose(record, deadline); });
--- a/src/daemon/routingfeed.cpp
+++ b/src/daemon/routingfeed.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    ReplicaSample sampleOf(const ReplicaView& view, const ServiceText& service)
+    ReplicaSample sampleOf(const ReplicaView& view, const ServiceConfig& service)
     {
         ReplicaSample sample;
         sample.replica = view.replica;
@@ -36,13 +36,13 @@
 {
 }
 
-void RoutingFeed::refresh(const OperatorsText& text, const FleetUse& use, MonotonicTime now)
+void RoutingFeed::refresh(const OperatorConfig& text, const FleetUse& use, MonotonicTime now)
 {
     for (const auto& service : text.services)
         refreshService(service, use, now);
 }
 
-void RoutingFeed::refreshService(const ServiceText& service, const FleetUse& use, MonotonicTime now)
+void RoutingFeed::refreshService(const ServiceConfig& service, const FleetUse& use, MonotonicTime now)
 {
     std::vector<ReplicaSample> serving;
     for (const auto& view : m_directory.replicas(service.name, now)) {
--- a/src/daemon/routingfeed.h
+++ b/src/daemon/routingfeed.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "backend/directory.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <map>
 #include <string>
@@ -23,10 +23,10 @@
 public:
     RoutingFeed(ReplicaDirectory&, Router&, Admission&);
 
-    void refresh(const OperatorsText&, const FleetUse&, MonotonicTime now);
+    void refresh(const OperatorConfig&, const FleetUse&, MonotonicTime now);
 
 private:
-    void refreshService(const ServiceText&, const FleetUse&, MonotonicTime now);
+    void refreshService(const ServiceConfig&, const FleetUse&, MonotonicTime now);
 
     ReplicaDirectory& m_directory;
     Router& m_router;
--- a/src/daemon/snapshotloop.cpp
+++ b/src/daemon/snapshotloop.cpp
@@ -53,10 +53,10 @@
 
 bool SnapshotLoop::isDue() const
 {
-    auto need = m_reader.snapshotNeed();
+    auto need = m_reader.snapshotStatus();
     SnapshotDuty duty;
     duty.retention = m_settings.retention;
-    duty.oldestNeededAge = need.oldestNeeded ? wallNow() - *need.oldestNeeded : Milliseconds(0);
+    duty.oldestNeededAge = need.oldestUncoveredTime ? wallNow() - *need.oldestUncoveredTime : Milliseconds(0);
     duty.uncoveredExpired = need.uncoveredExpired;
     duty.holdsLease = m_holdsLease();
     duty.spread = m_settings.spread;
--- a/src/daemon/statusreport.cpp
+++ b/src/daemon/statusreport.cpp
@@ -23,7 +23,7 @@
         return report;
     }
 
-    Json serviceReport(const ServiceText& service, std::span<const ReplicaView> views)
+    Json serviceReport(const ServiceConfig& service, std::span<const ReplicaView> views)
     {
         Json replicas = Json::array();
         uint32_t serving = 0;
--- a/src/daemon/statusreport.h
+++ b/src/daemon/statusreport.h
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 #include "base/ids.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <nlohmann/json_fwd.hpp>
 #include <span>
@@ -22,7 +22,7 @@
 
 struct StatusInput {
     const NodeInfo& self;
-    const OperatorsText* text = nullptr;
+    const OperatorConfig* text = nullptr;
     Offset configVersion = 0;
     Offset logOffset = 0;
     bool logReachable = false;
--- a/src/daemon/weighedplacer.cpp
+++ b/src/daemon/weighedplacer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     // Plain services take no hosts from the domains, so no block of free hosts is kept for them.
-    PlacementService placementService(const ServiceText& service)
+    PlacementService placementService(const ServiceConfig& service)
     {
         uint32_t hosts = service.kind == ServiceKind::Model ? service.hostsPerReplica : 0;
         return { hosts, service.replicas, 0, service.groupDowntimeWeight, service.strandedWeight };
@@ -50,7 +50,7 @@
         uint32_t service(const std::string& name) const { return m_services.at(name); }
 
     private:
-        void addService(const ServiceText& service)
+        void addService(const ServiceConfig& service)
         {
             m_services.emplace(service.name, static_cast<uint32_t>(m_view.services.size()));
             m_view.services.push_back(placementService(service));
@@ -103,12 +103,12 @@
             { view.domains[choice->to.domain].domain, std::move(choice->to.hosts) } };
     }
 
-    size_t movesBound(const ServiceText& service, bool recoveriesWait)
+    size_t movesBound(const ServiceConfig& service, bool recoveriesWait)
     {
         return movesAtOnce(placementService(service), recoveriesWait);
     }
 
-    bool loadsFirst(const ServiceText& service) { return recoveryLoadsFirst(placementService(service)); }
+    bool loadsFirst(const ServiceConfig& service) { return recoveryLoadsFirst(placementService(service)); }
 
 }
 
--- a/src/log/appender.cpp
+++ b/src/log/appender.cpp
@@ -21,7 +21,7 @@
 {
 }
 
-std::optional<DecidedRecord> LogAppender::look(const std::string& id) const
+std::optional<DecidedRecord> LogAppender::findDecision(const std::string& id) const
 {
     return m_reader.withState([&](const State& state) { return state.decided(id); });
 }
@@ -31,25 +31,26 @@
 Result<DecidedRecord> LogAppender::propose(const Record& record, MonotonicTime deadline)
 {
     const std::string body = encode(record);
-    auto decided = [&] { return look(record.id).has_value(); };
+    auto decided = [&] { return findDecision(record.id).has_value(); };
     while (!decided()) {
         if (!m_reader.reachable() || !m_reader.ready())
-            return undecided("the log is unreachable");
+            return undecidedError("the log is unreachable");
         if (monotonicNow() >= deadline)
-            return undecided("the deadline has passed");
-        auto outcome = settle([&] { return attempt(body, deadline); });
+            return undecidedError("the deadline has passed");
+        auto outcome = settle([&] { return appendOnce(body, deadline); });
         if (auto* error = std::get_if<Error>(&outcome)) {
             if (!mayBeInLog(error->code))
-                return error->code == ErrorCode::Unreachable ? undecided("cannot connect to the log") : fail(*error);
-            auto landed = settle([&] { return isInLog(record.id); });
-            if (std::holds_alternative<Error>(landed))
-                return undecided("cannot read back from the log whether the record was appended");
-            if (!std::get<bool>(landed))
+                return error->code == ErrorCode::Unreachable ? undecidedError("cannot connect to the log")
+                                                             : fail(*error);
+            auto inLog = settle([&] { return isInLog(record.id); });
+            if (std::holds_alternative<Error>(inLog))
+                return undecidedError("cannot read back from the log whether the record was appended");
+            if (!std::get<bool>(inLog))
                 continue;
         }
         m_reader.waitUntil([&] { return decided() || !m_reader.reachable(); }, deadline);
     }
-    return *look(record.id);
+    return *findDecision(record.id);
 }
 
 Result<void> LogAppender::appendSnapshot(Random& random, MonotonicTime deadline, size_t partBytes)
@@ -63,7 +64,7 @@
     return {};
 }
 
-leaf::error_id LogAppender::undecided(std::string detail) const
+leaf::error_id LogAppender::undecidedError(std::string detail) const
 {
     return fail({ ErrorCode::Timeout, Step::LogAppend, m_reader.client().address().toString(), std::move(detail) });
 }
@@ -84,10 +85,10 @@
     }
 }
 
-Result<void> LogAppender::attempt(const std::string& body, MonotonicTime deadline)
+Result<void> LogAppender::appendOnce(const std::string& body, MonotonicTime deadline)
 {
-    auto left = std::chrono::duration_cast<Milliseconds>(deadline - monotonicNow());
-    auto timeout = std::clamp(left, Milliseconds(1), m_attemptTimeout);
+    auto remaining = std::chrono::duration_cast<Milliseconds>(deadline - monotonicNow());
+    auto timeout = std::clamp(remaining, Milliseconds(1), m_attemptTimeout);
     BOOST_LEAF_CHECK(m_reader.client().append(body, timeout));
     return {};
 }
--- a/src/log/appender.h
+++ b/src/log/appender.h
@@ -20,10 +20,10 @@
     Result<void> appendSnapshot(Random&, MonotonicTime deadline, size_t partBytes = snapshotPartBytes);
 
 private:
-    std::optional<DecidedRecord> look(const std::string& id) const;
+    std::optional<DecidedRecord> findDecision(const std::string& id) const;
     Result<bool> isInLog(const std::string& id) const;
-    leaf::error_id undecided(std::string detail) const;
-    Result<void> attempt(const std::string& body, MonotonicTime deadline);
+    leaf::error_id undecidedError(std::string detail) const;
+    Result<void> appendOnce(const std::string& body, MonotonicTime deadline);
 
     LogReader& m_reader;
     Milliseconds m_attemptTimeout;
--- a/src/log/reader.cpp
+++ b/src/log/reader.cpp
@@ -56,12 +56,12 @@
 
 bool LogReader::readOnce(Milliseconds wait)
 {
-    Offset from = m_folder.next();
-    auto outcome = settle([&]() -> Result<std::pair<FoldStep, bool>> {
+    Offset from = m_replay.nextOffset();
+    auto outcome = settle([&]() -> Result<std::pair<ReplayStep, bool>> {
         BOOST_LEAF_AUTO(page, m_client.read(from, m_settings.pageRecords, wait, m_settings.timeout));
         std::unique_lock lock(m_stateMutex);
-        BOOST_LEAF_AUTO(step, m_folder.add(page));
-        bool atEnd = m_folder.next() >= page.next;
+        BOOST_LEAF_AUTO(step, m_replay.add(page));
+        bool atEnd = m_replay.nextOffset() >= page.next;
         return std::pair(std::move(step), atEnd);
     });
     if (auto* error = std::get_if<Error>(&outcome)) {
@@ -70,30 +70,30 @@
         return false;
     }
     auto& [step, atEnd] = std::get<0>(outcome);
-    tookStep(step, monotonicNow());
-    if (atEnd && m_folder.whole())
+    notifySubscribers(step, monotonicNow());
+    if (atEnd && m_replay.isComplete())
         m_ready = true;
     return true;
 }
 
-void LogReader::tookStep(const FoldStep& step, MonotonicTime readAt)
+void LogReader::notifySubscribers(const ReplayStep& step, MonotonicTime readAt)
 {
-    m_offset = m_folder.state().offset();
+    m_offset = m_replay.state().offset();
     for (const LogSubscriber& subscriber : m_subscribers) {
-        if (step.restored && subscriber.restored)
-            subscriber.restored(readAt);
-        if (!subscriber.folded)
+        if (step.restored && subscriber.onRestored)
+            subscriber.onRestored(readAt);
+        if (!subscriber.onApplied)
             continue;
-        for (const FoldedRecord& record : step.folded)
-            subscriber.folded(record, readAt);
+        for (const AppliedRecord& record : step.applied)
+            subscriber.onApplied(record, readAt);
     }
 }
 
 // Jitter keeps the nodes from reconnecting all at once after an outage.
 void LogReader::backOff(uint32_t failures)
 {
-    auto longest = std::min(m_settings.backoffLongest, m_settings.backoffFirst * (1U << std::min(failures, 10U)));
-    std::uniform_int_distribution<int64_t> jitter(m_settings.backoffFirst.count() / 2, longest.count());
+    auto longest = std::min(m_settings.maxBackoff, m_settings.minBackoff * (1U << std::min(failures, 10U)));
+    std::uniform_int_distribution<int64_t> jitter(m_settings.minBackoff.count() / 2, longest.count());
     std::unique_lock lock(m_waitMutex);
     m_changed.wait_for(lock, Milliseconds(jitter(m_random)), [&] { return m_stopping.load(); });
 }
@@ -115,13 +115,13 @@
 bool LogReader::adoptConfig(Offset version, std::string_view text)
 {
     std::unique_lock lock(m_stateMutex);
-    return m_folder.state().adoptConfig(version, text);
+    return m_replay.state().adoptConfig(version, text);
 }
 
-LogReader::SnapshotNeed LogReader::snapshotNeed() const
+LogReader::SnapshotStatus LogReader::snapshotStatus() const
 {
     std::shared_lock lock(m_stateMutex);
-    return { m_folder.state().snapshotCovers(), m_folder.oldestNeeded(), m_folder.uncoveredExpired() };
+    return { m_replay.state().snapshotCovers(), m_replay.oldestUncoveredTime(), m_replay.uncoveredExpired() };
 }
 
 } // namespace Kumquatpick
--- a/src/log/reader.h
+++ b/src/log/reader.h
@@ -2,7 +2,7 @@
 
 #include "base/random.h"
 #include "log/client.h"
-#include "log/folder.h"
+#include "log/replay.h"
 
 #include <atomic>
 #include <condition_variable>
@@ -17,9 +17,9 @@
 
 // Callbacks for log records, called on the reader's thread in offset order, with no lock held.
 struct LogSubscriber {
-    std::function<void(const FoldedRecord&, MonotonicTime readAt)> folded;
+    std::function<void(const AppliedRecord&, MonotonicTime readAt)> onApplied;
     // The state was restored from a snapshot, so anything derived from it must be rebuilt.
-    std::function<void(MonotonicTime readAt)> restored;
+    std::function<void(MonotonicTime readAt)> onRestored;
 };
 
 // Reads the log on one thread and applies it to the state. The state is accessed under a shared lock and never
@@ -31,8 +31,8 @@
         uint32_t pageRecords = 512;
         Milliseconds wait { 2'000 }; // Of a long poll at the log service.
         Milliseconds timeout { 1'500 }; // For the answer, after the wait.
-        Milliseconds backoffFirst { 50 };
-        Milliseconds backoffLongest { 2'000 };
+        Milliseconds minBackoff { 50 };
+        Milliseconds maxBackoff { 2'000 };
     };
 
     LogReader(LogClient, Settings, Random::result_type seed);
@@ -49,7 +49,7 @@
     template <typename Use> auto withState(Use&& use) const
     {
         std::shared_lock lock(m_stateMutex);
-        return use(m_folder.state());
+        return use(m_replay.state());
     }
 
     // False after two failed reads in a row: a single broken connection does not count as an outage.
@@ -67,19 +67,19 @@
     bool adoptConfig(Offset version, std::string_view text);
 
     // Used to decide whether a snapshot is due.
-    struct SnapshotNeed {
+    struct SnapshotStatus {
         Offset snapshotCovers = 0;
-        std::optional<WallTime> oldestNeeded;
+        std::optional<WallTime> oldestUncoveredTime;
         bool uncoveredExpired = false;
     };
-    SnapshotNeed snapshotNeed() const;
+    SnapshotStatus snapshotStatus() const;
 
     const LogClient& client() const { return m_client; }
 
 private:
     void run();
     bool readOnce(Milliseconds wait);
-    void tookStep(const FoldStep&, MonotonicTime readAt);
+    void notifySubscribers(const ReplayStep&, MonotonicTime readAt);
     void setReachable(bool);
     void backOff(uint32_t failures);
 
@@ -89,7 +89,7 @@
     std::vector<LogSubscriber> m_subscribers;
 
     mutable std::shared_mutex m_stateMutex;
-    LogFolder m_folder;
+    LogReplay m_replay;
 
     mutable std::mutex m_waitMutex;
     mutable std::condition_variable m_changed;
--- a/src/log/folder.cpp
+++ b/src/log/replay.cpp
@@ -1,4 +1,4 @@
-#include "log/folder.h"
+#include "log/replay.h"
 
 #include "base/logline.h"
 
@@ -10,9 +10,9 @@
 namespace {
 
     // Times are kept for every 64th record only, to keep the map small.
-    constexpr Offset timeEvery = 64;
+    constexpr Offset timeSampleInterval = 64;
 
-    std::optional<Record> readRecord(const RawRecord& raw)
+    std::optional<Record> decodeOrSkip(const RawRecord& raw)
     {
         auto record = settle([&] { return decodeRecord(raw.body); });
         if (auto* error = std::get_if<Error>(&record)) {
@@ -25,50 +25,50 @@
 
 }
 
-Offset LogFolder::next() const { return m_starting ? m_keptBackNext : m_state.offset() + 1; }
+Offset LogReplay::nextOffset() const { return m_awaitingSnapshot ? m_nextBufferedOffset : m_state.offset() + 1; }
 
-Result<FoldStep> LogFolder::add(const LogPage& page)
+Result<ReplayStep> LogReplay::add(const LogPage& page)
 {
-    if (page.next < next())
+    if (page.next < nextOffset())
         return fail({ ErrorCode::Stale, Step::LogRead, {},
             fmt::format("the log has lost records: it ends before offset {}, but the next offset to read is {}",
-                page.next, next()) });
+                page.next, nextOffset()) });
     m_earliest = page.earliest;
-    if (page.earliest > next()) {
+    if (page.earliest > nextOffset()) {
         // Records are missing: this reader is new, or was disconnected for longer than records are retained.
-        m_starting = true;
-        m_keptBack.clear();
-        m_keptBackNext = page.earliest;
+        m_awaitingSnapshot = true;
+        m_bufferedRecords.clear();
+        m_nextBufferedOffset = page.earliest;
         m_assembler = {};
     }
-    FoldStep step;
+    ReplayStep step;
     for (const RawRecord& raw : page.records) {
-        if (raw.offset != next())
+        if (raw.offset != nextOffset())
             continue;
-        if (m_starting)
-            addWhileStarting(raw, step);
+        if (m_awaitingSnapshot)
+            bufferUntilSnapshot(raw, step);
         else
-            fold(raw, step);
+            applyRecord(raw, step);
     }
     return step;
 }
 
-void LogFolder::addWhileStarting(const RawRecord& raw, FoldStep& step)
+void LogReplay::bufferUntilSnapshot(const RawRecord& raw, ReplayStep& step)
 {
-    m_keptBack.push_back(raw);
-    m_keptBackNext = raw.offset + 1;
-    auto record = readRecord(raw);
+    m_bufferedRecords.push_back(raw);
+    m_nextBufferedOffset = raw.offset + 1;
+    auto record = decodeOrSkip(raw);
     auto* part = record ? std::get_if<SnapshotProposal>(&record->body) : nullptr;
     if (!part || part->covers >= raw.offset)
         return;
-    auto whole = m_assembler.add(*part);
-    if (whole && whole->covers + 1 >= m_keptBack.front().offset)
-        startFrom(*whole, step);
+    auto snapshot = m_assembler.add(*part);
+    if (snapshot && snapshot->covers + 1 >= m_bufferedRecords.front().offset)
+        restoreFrom(*snapshot, step);
 }
 
 // Restores the state and applies the buffered records after it. The previous state can only be older, except for
 // an adopted configuration, which may be newer than the snapshot and is carried over.
-void LogFolder::startFrom(const SnapshotProposal& snapshot, FoldStep& step)
+void LogReplay::restoreFrom(const SnapshotProposal& snapshot, ReplayStep& step)
 {
     auto restored = settle([&] { return State::restore(snapshot); });
     if (auto* error = std::get_if<Error>(&restored)) {
@@ -79,43 +79,43 @@
     if (const AcceptedConfig* known = m_state.config())
         state.adoptConfig(known->version, known->text);
     m_state = std::move(state);
-    m_starting = false;
-    m_times.clear();
+    m_awaitingSnapshot = false;
+    m_sampledTimes.clear();
     step.restored = true;
-    std::vector<RawRecord> records = std::move(m_keptBack);
-    m_keptBack.clear();
+    std::vector<RawRecord> records = std::move(m_bufferedRecords);
+    m_bufferedRecords.clear();
     for (const RawRecord& raw : records) {
         if (raw.offset > snapshot.covers)
-            fold(raw, step);
+            applyRecord(raw, step);
     }
 }
 
-void LogFolder::fold(const RawRecord& raw, FoldStep& step)
+void LogReplay::applyRecord(const RawRecord& raw, ReplayStep& step)
 {
-    auto record = readRecord(raw);
+    auto record = decodeOrSkip(raw);
     if (!record) {
         m_state.skip(raw.offset);
     } else {
         LoggedRecord logged { raw.offset, std::move(*record) };
         Verdict verdict = m_state.apply(logged);
-        step.folded.push_back({ std::move(logged), verdict });
+        step.applied.push_back({ std::move(logged), verdict });
     }
-    noteTime(raw);
+    sampleTime(raw);
 }
 
 // Keeps the time of the first uncovered record, or of a sampled record before it, which makes the time too early.
-void LogFolder::noteTime(const RawRecord& raw)
+void LogReplay::sampleTime(const RawRecord& raw)
 {
-    if (m_times.empty() || raw.offset % timeEvery == 0)
-        m_times.emplace(raw.offset, raw.time);
-    auto after = m_times.upper_bound(m_state.snapshotCovers() + 1);
-    if (after != m_times.begin())
-        m_times.erase(m_times.begin(), std::prev(after));
+    if (m_sampledTimes.empty() || raw.offset % timeSampleInterval == 0)
+        m_sampledTimes.emplace(raw.offset, raw.time);
+    auto after = m_sampledTimes.upper_bound(m_state.snapshotCovers() + 1);
+    if (after != m_sampledTimes.begin())
+        m_sampledTimes.erase(m_sampledTimes.begin(), std::prev(after));
 }
 
-std::optional<WallTime> LogFolder::oldestNeeded() const
+std::optional<WallTime> LogReplay::oldestUncoveredTime() const
 {
-    return m_times.empty() ? std::nullopt : std::optional(m_times.begin()->second);
+    return m_sampledTimes.empty() ? std::nullopt : std::optional(m_sampledTimes.begin()->second);
 }
 
 } // namespace Kumquatpick
--- a/src/main/kumquatpickd.cpp
+++ b/src/main/kumquatpickd.cpp
@@ -9,7 +9,7 @@
 using namespace Kumquatpick;
 
 constexpr int exitFailed = 1;
-constexpr int exitCutOff = 3; // The stop timeout expired with requests still in flight.
+constexpr int exitRequestsAborted = 3; // The stop timeout expired with requests still in flight.
 
 // Blocks the stop signals in every thread, so that only sigwait() receives them. SIGPIPE is ignored, as writes to
 // a broken connection return an error.
@@ -39,7 +39,7 @@
     std::fflush(stdout);
     int signal = 0;
     sigwait(&signals, &signal);
-    return daemon.stop() ? 0 : exitCutOff;
+    return daemon.stop() ? 0 : exitRequestsAborted;
 }
 
 }
--- a/src/membership/client.cpp
+++ b/src/membership/client.cpp
@@ -10,16 +10,16 @@
 namespace {
 
     constexpr int httpOk = 200;
-    constexpr size_t largestBody = 128 << 20; // 100,000 hosts take about 25 MB.
+    constexpr size_t maxBodyBytes = 128 << 20; // 100,000 hosts take about 25 MB.
 
-    Error readError(httplib::Error code, const Address& address)
+    Error transportError(httplib::Error code, const Address& address)
     {
         bool isUnreachable = code == httplib::Error::Connection || code == httplib::Error::ConnectionTimeout;
         return { isUnreachable ? ErrorCode::Unreachable : ErrorCode::BrokenOff, Step::MembershipRead,
             address.toString(), httplib::to_string(code) };
     }
 
-    bool isSameList(const MembershipSnapshot& a, const MembershipSnapshot& b)
+    bool hasSameHosts(const MembershipSnapshot& a, const MembershipSnapshot& b)
     {
         return a.backends == b.backends && a.entries == b.entries;
     }
@@ -29,7 +29,7 @@
 MembershipClient::MembershipClient(TimerService& timer, MembershipSettings settings, Listener listener)
     : m_settings(std::move(settings))
     , m_listener(std::move(listener))
-    , m_thread([this] { work(); })
+    , m_thread([this] { run(); })
     , m_timer(timer.every(m_settings.period, [this](MonotonicTime) {
         std::lock_guard lock(m_mutex);
         m_isDue = true;
@@ -63,7 +63,7 @@
     return now - last->readAt;
 }
 
-void MembershipClient::work()
+void MembershipClient::run()
 {
     std::unique_lock lock(m_mutex);
     while (true) {
@@ -72,28 +72,28 @@
             return;
         m_isDue = false;
         lock.unlock();
-        read();
+        refresh();
         lock.lock();
     }
 }
 
-void MembershipClient::read()
+void MembershipClient::refresh()
 {
-    auto settled = settle([&] { return fetch(); });
-    if (const Error* error = std::get_if<Error>(&settled)) {
+    auto result = settle([&] { return fetch(); });
+    if (const Error* error = std::get_if<Error>(&result)) {
         if (!std::exchange(m_isFailing, true))
             logError("cannot read the membership list; keeping the last one", *error);
         return;
     }
     if (std::exchange(m_isFailing, false))
         logLine(LogLevel::Info, "reading the membership list succeeded again");
-    auto next = std::make_shared<const MembershipSnapshot>(std::move(std::get<0>(settled)));
+    auto next = std::make_shared<const MembershipSnapshot>(std::move(std::get<0>(result)));
     std::shared_ptr<const MembershipSnapshot> previous;
     {
         std::lock_guard lock(m_mutex);
         previous = std::exchange(m_snapshot, next);
     }
-    bool isChange = !previous || !isSameList(*previous, *next);
+    bool isChange = !previous || !hasSameHosts(*previous, *next);
     if (isChange && m_listener)
         m_listener(*next);
 }
@@ -109,10 +109,10 @@
     std::string body;
     auto answer = client.Get("/v1/hosts", { { "Accept-Encoding", "identity" } }, [&](const char* bytes, size_t size) {
         body.append(bytes, size);
-        return body.size() <= largestBody && monotonicNow() < deadline;
+        return body.size() <= maxBodyBytes && monotonicNow() < deadline;
     });
     if (!answer)
-        return fail(readError(answer.error(), m_settings.address));
+        return fail(transportError(answer.error(), m_settings.address));
     if (answer->status != httpOk)
         return fail({ ErrorCode::Refused, Step::MembershipRead, m_settings.address.toString(),
             fmt::format("HTTP status {}", answer->status) });
--- a/src/membership/client.h
+++ b/src/membership/client.h
@@ -40,8 +40,8 @@
     std::optional<std::chrono::nanoseconds> age(MonotonicTime now) const;
 
 private:
-    void work();
-    void read();
+    void run();
+    void refresh();
     Result<MembershipSnapshot> fetch() const;
 
     const MembershipSettings m_settings;
--- a/src/membership/snapshot.cpp
+++ b/src/membership/snapshot.cpp
@@ -33,7 +33,7 @@
     // An unknown state counts as leaving: the host is alive but gets no new work.
     bool isLeaving(const json& host) { return host.at("state").get<std::string>() != "live"; }
 
-    ListedHost backendFrom(const json& host)
+    ListedHost parseBackend(const json& host)
     {
         ListedHost backend;
         host.at("host").get_to(backend.host);
@@ -46,9 +46,9 @@
         return backend;
     }
 
-    ListedEntry entryFrom(const json& host)
+    ListedNode parseEntry(const json& host)
     {
-        ListedEntry entry;
+        ListedNode entry;
         host.at("host").get_to(entry.node.id.name);
         // Optional in the list; nodes learn the incarnations of their peers by gossip.
         if (host.contains("incarnation"))
@@ -60,7 +60,7 @@
         return entry;
     }
 
-    MembershipSnapshot snapshotFrom(const json& page, MonotonicTime readAt)
+    MembershipSnapshot parseSnapshot(const json& page, MonotonicTime readAt)
     {
         MembershipSnapshot snapshot;
         page.at("revision").get_to(snapshot.revision);
@@ -72,9 +72,9 @@
                 throw std::invalid_argument("host is listed twice: " + name);
             auto role = host.at("role").get<std::string>();
             if (role == "backend")
-                snapshot.backends.push_back(backendFrom(host));
+                snapshot.backends.push_back(parseBackend(host));
             else if (role == "entry")
-                snapshot.entries.push_back(entryFrom(host));
+                snapshot.entries.push_back(parseEntry(host));
         }
         return snapshot;
     }
@@ -84,7 +84,7 @@
 Result<MembershipSnapshot> parseMembership(std::string_view text, MonotonicTime readAt)
 {
     try {
-        return snapshotFrom(json::parse(text), readAt);
+        return parseSnapshot(json::parse(text), readAt);
     } catch (const std::exception& fault) {
         return fail({ ErrorCode::Malformed, Step::MembershipRead, {}, fault.what() });
     }
--- a/src/membership/snapshot.h
+++ b/src/membership/snapshot.h
@@ -12,18 +12,18 @@
 namespace Kumquatpick {
 
 // An entry node in the platform's membership list.
-struct ListedEntry {
+struct ListedNode {
     NodeInfo node;
     bool leaving = false;
 
-    bool operator==(const ListedEntry&) const = default;
+    bool operator==(const ListedNode&) const = default;
 };
 
 // The platform's membership list as last read. The list may be outdated, but a host that was removed from it is dead.
 struct MembershipSnapshot {
     uint64_t revision = 0;
     std::vector<ListedHost> backends;
-    std::vector<ListedEntry> entries;
+    std::vector<ListedNode> entries;
     MonotonicTime readAt {};
 };
 
--- a/src/operator/text.h
+++ b/src/operator/config.h
@@ -19,7 +19,7 @@
     Ignored, // The engine executes any order, so only the sender can prevent outdated ones.
 };
 
-struct ServiceText {
+struct ServiceConfig {
     std::string name;
     ServiceKind kind = ServiceKind::Model;
     std::string model;
@@ -34,46 +34,46 @@
     double groupDowntimeWeight = 0.5;
     double strandedWeight = 0.5;
 
-    bool operator==(const ServiceText&) const = default;
+    bool operator==(const ServiceConfig&) const = default;
 };
 
-struct TeamText {
+struct TeamConfig {
     std::string name;
     double share = 1; // Relative weight in fair queueing.
     uint32_t streamLimit = 0; // Concurrent requests over all entry nodes; 0 for no limit.
 
-    bool operator==(const TeamText&) const = default;
+    bool operator==(const TeamConfig&) const = default;
 };
 
 // The configuration of a deployment, as written by its operators.
-struct OperatorsText {
+struct OperatorConfig {
     std::string deployment;
     std::vector<std::string> zones;
-    std::vector<ServiceText> services;
-    std::vector<TeamText> teams;
+    std::vector<ServiceConfig> services;
+    std::vector<TeamConfig> teams;
 
-    const ServiceText* service(std::string_view name) const;
-    const TeamText* team(std::string_view name) const;
-    bool operator==(const OperatorsText&) const = default;
+    const ServiceConfig* service(std::string_view name) const;
+    const TeamConfig* team(std::string_view name) const;
+    bool operator==(const OperatorConfig&) const = default;
 };
 
 // A fault in a configuration, with its position in the file.
-struct TextFault {
+struct ConfigFault {
     uint32_t line = 0; // Line and column count from 1.
     uint32_t column = 0;
     std::string key; // "service[2].replicas"
     std::string expected; // "a whole number from 0 to 100000"
 
     std::string describe(std::string_view file) const;
-    bool operator==(const TextFault&) const = default;
+    bool operator==(const ConfigFault&) const = default;
 };
 
 // In bytes.
-constexpr size_t longestOperatorsText = 512 * 1024;
-constexpr size_t longestOperatorsLine = 1024;
+constexpr size_t maxConfigBytes = 512 * 1024;
+constexpr size_t maxConfigLineBytes = 1024;
 
 // Parses TOML. Reports all faults at once; unknown keys are faults. The result depends on the bytes only and nothing
 // is thrown, so that every node accepts or rejects the same configurations.
-std::variant<OperatorsText, std::vector<TextFault>> parseOperatorsText(std::string_view toml);
+std::variant<OperatorConfig, std::vector<ConfigFault>> parseOperatorConfig(std::string_view toml);
 
 } // namespace Kumquatpick
--- a/src/operator/daemonsettings.cpp
+++ b/src/operator/daemonsettings.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-    constexpr uint64_t mostThreads = 10'000;
-    constexpr uint64_t longestPeriodMs = 60'000;
-    constexpr uint64_t longestTimeoutMs = 3'600'000;
-    constexpr uint64_t longestRetentionS = 31'536'000; // A year.
-    constexpr std::string_view expectedName
+    constexpr uint64_t maxThreads = 10'000;
+    constexpr uint64_t maxPeriodMs = 60'000;
+    constexpr uint64_t maxTimeoutMs = 3'600'000;
+    constexpr uint64_t maxRetentionS = 31'536'000; // A year.
+    constexpr std::string_view nameRequirement
         = "a name of 1 to 63 letters, digits, '-', '_' or '.', beginning with a letter or digit";
 
     struct Advertised {
@@ -21,43 +21,43 @@
         std::optional<Address> peer;
     };
 
-    SettingGroup nodeGroup(DaemonSettings& s)
+    SettingGroup nodeGroup(DaemonSettings& settings)
     {
         return { "This node",
             {
                 { .flag = "name",
-                    .into = &s.name,
+                    .into = &settings.name,
                     .help = "Name of this node, unique in the deployment.",
                     .required = true,
                     .accepts = isPlainName,
-                    .expected = expectedName },
+                    .expected = nameRequirement },
                 { .flag = "zone",
-                    .into = &s.zone,
+                    .into = &settings.zone,
                     .help = "Availability zone of this node.",
                     .required = true,
                     .accepts = isPlainName,
-                    .expected = expectedName },
+                    .expected = nameRequirement },
                 { .flag = "region",
-                    .into = &s.region,
+                    .into = &settings.region,
                     .help = "Region of this node; empty if there is only one.",
                     .accepts = isPlainName,
-                    .expected = expectedName },
+                    .expected = nameRequirement },
             } };
     }
 
-    SettingGroup addressGroup(DaemonSettings& s, Advertised& advertised)
+    SettingGroup addressGroup(DaemonSettings& settings, Advertised& advertised)
     {
         return { "Addresses",
             {
                 { .flag = "caller-listen",
-                    .into = &s.callerListen,
+                    .into = &settings.callerListen,
                     .help = "Address to listen on for callers and operators (HTTP).",
                     .required = true },
                 { .flag = "caller-advertised",
                     .into = &advertised.caller,
                     .help = "Address that callers are given for this node; defaults to --caller-listen." },
                 { .flag = "peer-listen",
-                    .into = &s.peerListen,
+                    .into = &settings.peerListen,
                     .help = "Address to listen on for other nodes (Cap'n Proto).",
                     .required = true },
                 { .flag = "peer-advertised",
@@ -66,133 +66,133 @@
             } };
     }
 
-    SettingGroup platformGroup(DaemonSettings& s)
+    SettingGroup platformGroup(DaemonSettings& settings)
     {
         return { "Platform",
             {
                 { .flag = "log-service",
-                    .into = &s.logService,
+                    .into = &settings.logService,
                     .help = "Address of the platform's log service.",
                     .required = true },
                 { .flag = "log-name",
-                    .into = &s.logName,
+                    .into = &settings.logName,
                     .help = "Name of the log of this deployment; each deployment needs a log of its own.",
                     .accepts = isPlainName,
-                    .expected = expectedName },
+                    .expected = nameRequirement },
                 { .flag = "log-retention-s",
-                    .into = &s.logRetention,
+                    .into = &settings.logRetention,
                     .help
                     = "How long the log service retains a record; snapshots are appended well before records expire.",
                     .lowest = 60,
-                    .highest = longestRetentionS },
+                    .highest = maxRetentionS },
                 { .flag = "snapshot-every",
-                    .into = &s.snapshotEvery,
+                    .into = &settings.snapshotEvery,
                     .help = "Number of records after which a snapshot is appended, unless one is due earlier by time.",
                     .unit = "records",
                     .lowest = 10,
                     .highest = 100'000'000 },
                 { .flag = "membership",
-                    .into = &s.membership,
+                    .into = &settings.membership,
                     .help = "Address of the platform's membership list.",
                     .required = true },
                 { .flag = "weight-store",
-                    .into = &s.weightStore,
+                    .into = &settings.weightStore,
                     .help = "Address that engines load weights from.",
                     .required = true },
             } };
     }
 
-    SettingGroup requestGroup(DaemonSettings& s)
+    SettingGroup requestGroup(DaemonSettings& settings)
     {
         return { "Requests",
             {
                 { .flag = "caller-threads",
-                    .into = &s.callerThreads,
+                    .into = &settings.callerThreads,
                     .help = "Threads that serve callers; each request or stream occupies one.",
                     .unit = "threads",
                     .lowest = 1,
-                    .highest = mostThreads },
+                    .highest = maxThreads },
                 { .flag = "backend-threads",
-                    .into = &s.backendThreads,
+                    .into = &settings.backendThreads,
                     .help = "Threads that call backend servers; each request or stream occupies one.",
                     .unit = "threads",
                     .lowest = 1,
-                    .highest = mostThreads },
+                    .highest = maxThreads },
                 { .flag = "max-body-bytes",
-                    .into = &s.maxBodyBytes,
+                    .into = &settings.maxBodyBytes,
                     .help = "Maximum size of a request body.",
                     .unit = "bytes",
                     .lowest = 1024,
                     .highest = 1024 * 1024 * 1024 },
                 { .flag = "read-timeout-ms",
-                    .into = &s.readTimeout,
+                    .into = &settings.readTimeout,
                     .help = "How long a caller may pause while sending a request.",
                     .lowest = 10,
-                    .highest = longestTimeoutMs },
+                    .highest = maxTimeoutMs },
                 { .flag = "key-retention-s",
-                    .into = &s.keyRetention,
+                    .into = &settings.keyRetention,
                     .help
                     = "How long a key is remembered; a non-repeatable request with an older one gets may-have-run.",
                     .lowest = 60,
-                    .highest = longestRetentionS },
+                    .highest = maxRetentionS },
                 { .flag = "answer-retention-s",
-                    .into = &s.answerRetention,
+                    .into = &settings.answerRetention,
                     .help = "How long a finished answer is kept for a caller that repeats the request.",
                     .lowest = 0,
-                    .highest = longestRetentionS },
+                    .highest = maxRetentionS },
                 { .flag = "answer-bytes",
-                    .into = &s.answerBytes,
+                    .into = &settings.answerBytes,
                     .help = "Memory for all kept answers together; the oldest are evicted first.",
                     .unit = "bytes",
                     .highest = 1024ULL * 1024 * 1024 * 1024 },
             } };
     }
 
-    SettingGroup controlGroup(DaemonSettings& s)
+    SettingGroup controlGroup(DaemonSettings& settings)
     {
         return { "Control",
             {
                 { .flag = "probe-period-ms",
-                    .into = &s.probePeriod,
+                    .into = &settings.probePeriod,
                     .help = "Interval between probes of one backend server.",
                     .lowest = 10,
-                    .highest = longestPeriodMs },
+                    .highest = maxPeriodMs },
                 { .flag = "probe-lifetime-ms",
-                    .into = &s.probeLifetime,
+                    .into = &settings.probeLifetime,
                     .help = "A host counts as missing when its latest probe answer is older than this.",
                     .lowest = 10,
-                    .highest = longestPeriodMs },
+                    .highest = maxPeriodMs },
                 { .flag = "engine-order-timeout-ms",
-                    .into = &s.engineOrderTimeout,
+                    .into = &settings.engineOrderTimeout,
                     .help = "How long an engine may take to answer an order.",
                     .lowest = 10,
-                    .highest = longestTimeoutMs },
+                    .highest = maxTimeoutMs },
                 { .flag = "gossip-period-ms",
-                    .into = &s.gossipPeriod,
+                    .into = &settings.gossipPeriod,
                     .help = "Interval between gossip exchanges with other nodes.",
                     .lowest = 10,
-                    .highest = longestPeriodMs },
+                    .highest = maxPeriodMs },
                 { .flag = "lease-ms",
-                    .into = &s.lease,
+                    .into = &settings.lease,
                     .help = "Duration of the controller's lease; another node takes over when it has expired.",
                     .lowest = 5'000,
-                    .highest = longestTimeoutMs },
+                    .highest = maxTimeoutMs },
             } };
     }
 
-    SettingGroup processGroup(DaemonSettings& s)
+    SettingGroup processGroup(DaemonSettings& settings)
     {
         return { "Process",
             {
                 { .flag = "stop-timeout-s",
-                    .into = &s.stopTimeout,
+                    .into = &settings.stopTimeout,
                     .help = "How long a planned stop waits for requests in flight; 0 waits without a limit.",
-                    .highest = longestRetentionS },
+                    .highest = maxRetentionS },
                 { .flag = "trace-file",
-                    .into = &s.traceFile,
+                    .into = &settings.traceFile,
                     .help = "File that spans are appended to as OTLP JSON lines; empty for no traces." },
                 { .flag = "log-level",
-                    .into = &s.logLevel,
+                    .into = &settings.logLevel,
                     .help = "Minimum level of the log lines on standard error." },
             } };
     }
@@ -207,29 +207,29 @@
     bool isAnyAddress(const Address& address) { return address.ip == "0.0.0.0" || address.ip == "::"; }
 
     // An advertised address must be one that others can connect to.
-    void advertise(std::string_view kind, const std::optional<Address>& given, const Address& listen, Address& into,
-        std::vector<std::string>& faults)
+    void resolveAdvertised(std::string_view kind, const std::optional<Address>& configured, const Address& listen,
+        Address& into, std::vector<std::string>& faults)
     {
-        into = given.value_or(listen);
+        into = configured.value_or(listen);
         if (isAnyAddress(into))
             faults.push_back(
                 fmt::format("--{0}-advertised: required when --{0}-listen is {1}, as others cannot connect to {1}",
                     kind, listen.ip));
-        else if (given && given->port == 0)
+        else if (configured && configured->port == 0)
             faults.push_back(fmt::format("--{}-advertised: the port must be above 0", kind));
     }
 
-    std::vector<std::string> complete(DaemonSettings& s, const Advertised& advertised)
+    std::vector<std::string> resolveAndCheck(DaemonSettings& settings, const Advertised& advertised)
     {
         std::vector<std::string> faults;
-        advertise("caller", advertised.caller, s.callerListen, s.callerAdvertised, faults);
-        advertise("peer", advertised.peer, s.peerListen, s.peerAdvertised, faults);
-        if (s.callerListen == s.peerListen && s.callerListen.port != 0)
+        resolveAdvertised("caller", advertised.caller, settings.callerListen, settings.callerAdvertised, faults);
+        resolveAdvertised("peer", advertised.peer, settings.peerListen, settings.peerAdvertised, faults);
+        if (settings.callerListen == settings.peerListen && settings.callerListen.port != 0)
             faults.emplace_back("--peer-listen: must differ from --caller-listen");
-        if (s.probeLifetime < 2 * s.probePeriod)
+        if (settings.probeLifetime < 2 * settings.probePeriod)
             faults.emplace_back("--probe-lifetime-ms: must be at least twice --probe-period-ms, or a single lost "
                                 "probe makes a replica unavailable");
-        if (s.answerRetention > s.keyRetention)
+        if (settings.answerRetention > settings.keyRetention)
             faults.emplace_back("--answer-retention-s: must be at most --key-retention-s, as an answer is looked up by "
                                 "its key");
         return faults;
@@ -245,7 +245,7 @@
     SettingsParser parser = parserFor(settings, advertised);
     if (auto exit = parser.parse(arguments, environment))
         return *exit;
-    if (auto faults = complete(settings, advertised); !faults.empty())
+    if (auto faults = resolveAndCheck(settings, advertised); !faults.empty())
         return parser.faults(faults);
     return settings;
 }
--- a/src/operator/dependencies.cpp
+++ b/src/operator/dependencies.cpp
@@ -1,6 +1,6 @@
 #include "operator/dependencies.h"
 
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr std::ptrdiff_t longestShownCycle = 8; // In services, to keep the message readable.
+    constexpr std::ptrdiff_t maxShownServices = 8; // In services, to keep the message readable.
 
     enum class Visit : uint8_t {
         NotYet,
@@ -23,7 +23,7 @@
     // Depth-first search: an edge to a service that is still on the path closes a cycle.
     class CycleSearch {
     public:
-        explicit CycleSearch(std::span<const ServiceText> services)
+        explicit CycleSearch(std::span<const ServiceConfig> services)
             : m_services(services)
             , m_visits(services.size(), Visit::NotYet)
         {
@@ -35,25 +35,25 @@
         {
             for (size_t i = 0; i < m_services.size(); ++i)
                 if (m_visits[i] == Visit::NotYet)
-                    follow(i);
+                    visit(i);
             return std::move(m_faults);
         }
 
     private:
         // The recursion depth is bounded by the maximum number of services in a configuration.
-        void follow(size_t service)
+        void visit(size_t service)
         {
             m_visits[service] = Visit::OnPath;
             m_path.push_back(service);
             const auto& dependsOn = m_services[service].dependsOn;
             for (size_t i = 0; i < dependsOn.size(); ++i)
                 if (!dependsOn[i].empty())
-                    followEdge(service, i);
+                    visitDependency(service, i);
             m_path.pop_back();
             m_visits[service] = Visit::Done;
         }
 
-        void followEdge(size_t service, size_t index)
+        void visitDependency(size_t service, size_t index)
         {
             const std::string& target = m_services[service].dependsOn[index];
             auto found = m_indexes.find(target);
@@ -61,15 +61,15 @@
                 m_faults.push_back(
                     { service, index, fmt::format("a service of this configuration; there is no '{}'", target) });
             else if (m_visits[found->second] == Visit::OnPath)
-                m_faults.push_back({ service, index, fmt::format("no cycle: {}", cycleTo(found->second)) });
+                m_faults.push_back({ service, index, fmt::format("no cycle: {}", describeCycle(found->second)) });
             else if (m_visits[found->second] == Visit::NotYet)
-                follow(found->second);
+                visit(found->second);
         }
 
-        std::string cycleTo(size_t service) const
+        std::string describeCycle(size_t service) const
         {
             auto begin = std::ranges::find(m_path, service);
-            auto end = std::next(begin, std::min<std::ptrdiff_t>(m_path.end() - begin, longestShownCycle));
+            auto end = std::next(begin, std::min<std::ptrdiff_t>(m_path.end() - begin, maxShownServices));
             std::string cycle;
             for (auto i = begin; i != end; ++i)
                 cycle += m_services[*i].name + " -> ";
@@ -78,7 +78,7 @@
             return cycle + m_services[service].name;
         }
 
-        std::span<const ServiceText> m_services;
+        std::span<const ServiceConfig> m_services;
         std::vector<Visit> m_visits;
         std::map<std::string_view, size_t> m_indexes;
         std::vector<size_t> m_path;
@@ -87,7 +87,7 @@
 
 }
 
-std::vector<DependencyFault> dependencyFaults(std::span<const ServiceText> services)
+std::vector<DependencyFault> dependencyFaults(std::span<const ServiceConfig> services)
 {
     return CycleSearch(services).run();
 }
--- a/src/operator/dependencies.h
+++ b/src/operator/dependencies.h
@@ -7,7 +7,7 @@
 
 namespace Kumquatpick {
 
-struct ServiceText;
+struct ServiceConfig;
 
 // An invalid entry of a service's dependsOn.
 struct DependencyFault {
@@ -18,6 +18,6 @@
 
 // Returns dependencies on unknown services and those that close a cycle. Empty names are skipped: the parser has
 // reported them already.
-std::vector<DependencyFault> dependencyFaults(std::span<const ServiceText>);
+std::vector<DependencyFault> dependencyFaults(std::span<const ServiceConfig>);
 
 } // namespace Kumquatpick
--- a/src/operator/tablereader.cpp
+++ b/src/operator/tablereader.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-    constexpr size_t longestName = 63;
-    constexpr size_t mostNames = 1000; // In one array. The check for duplicates takes quadratic time.
-    constexpr double highestWeight = 1e6;
-    constexpr std::string_view expectedName
+    constexpr size_t maxNameLength = 63;
+    constexpr size_t maxNames = 1000; // In one array. The check for duplicates takes quadratic time.
+    constexpr double maxWeight = 1e6;
+    constexpr std::string_view nameRequirement
         = "a name: 1 to 63 letters, digits, '-', '_' or '.', beginning with a letter or digit";
 
     bool isLetterOrDigit(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9'); }
 
     bool isNameCharacter(char c) { return isLetterOrDigit(c) || c == '-' || c == '_' || c == '.'; }
 
-    const std::string* asName(const toml::node& node)
+    const std::string* plainNameOf(const toml::node& node)
     {
         const auto* value = node.as_string();
         return value && isPlainName(value->get()) ? &value->get() : nullptr;
@@ -29,56 +29,56 @@
 
 bool isPlainName(std::string_view name)
 {
-    return !name.empty() && name.size() <= longestName && isLetterOrDigit(name.front())
+    return !name.empty() && name.size() <= maxNameLength && isLetterOrDigit(name.front())
         && std::ranges::all_of(name, isNameCharacter);
 }
 
-TextFault faultAt(const toml::source_region& region, std::string key, std::string expected)
+ConfigFault makeFault(const toml::source_region& region, std::string key, std::string expected)
 {
     uint32_t line = std::max<uint32_t>(region.begin.line, 1);
     uint32_t column = std::max<uint32_t>(region.begin.column, 1);
     return { line, column, std::move(key), std::move(expected) };
 }
 
-TableReader::TableReader(const toml::table& table, std::string path, std::vector<TextFault>& faults)
+TableReader::TableReader(const toml::table& table, std::string path, std::vector<ConfigFault>& faults)
     : m_table(table)
     , m_path(std::move(path))
     , m_faults(faults)
 {
 }
 
-void TableReader::name(std::string_view key, std::string& into, Presence presence)
+void TableReader::readName(std::string_view key, std::string& into, Presence presence)
 {
-    const toml::node* node = find(key, presence, expectedName);
+    const toml::node* node = find(key, presence, nameRequirement);
     if (!node)
         return;
-    if (const std::string* value = asName(*node))
+    if (const std::string* value = plainNameOf(*node))
         into = *value;
     else
-        faultAt(key, std::string(expectedName));
+        addFault(key, std::string(nameRequirement));
 }
 
-void TableReader::names(std::string_view key, std::vector<std::string>& into, Presence presence)
+void TableReader::readNames(std::string_view key, std::vector<std::string>& into, Presence presence)
 {
-    const std::string expected = fmt::format("an array of at most {} names", mostNames);
+    const std::string expected = fmt::format("an array of at most {} names", maxNames);
     const toml::node* node = find(key, presence, expected);
     if (!node)
         return;
     const toml::array* array = node->as_array();
-    if (!array || array->size() > mostNames)
-        return faultAt(key, expected);
+    if (!array || array->size() > maxNames)
+        return addFault(key, expected);
     for (size_t i = 0; i < array->size(); ++i) {
-        const std::string* value = asName((*array)[i]);
+        const std::string* value = plainNameOf((*array)[i]);
         if (!value)
-            faultAtElement(key, i, std::string(expectedName));
+            addElementFault(key, i, std::string(nameRequirement));
         else if (std::ranges::find(into, *value) != into.end())
-            faultAtElement(key, i, fmt::format("each name once; '{}' is there already", *value));
+            addElementFault(key, i, fmt::format("each name once; '{}' is there already", *value));
         // An invalid element becomes an empty name, so that the indexes stay those of the TOML array.
         into.push_back(value ? *value : std::string());
     }
 }
 
-void TableReader::number(std::string_view key, uint64_t& into, NumberRange range, Presence presence)
+void TableReader::readNumber(std::string_view key, uint64_t& into, NumberRange range, Presence presence)
 {
     std::string expected = fmt::format("a whole number from {} to {}", range.lowest, range.highest);
     const toml::node* node = find(key, presence, expected);
@@ -90,21 +90,21 @@
     if (inRange)
         into = static_cast<uint64_t>(value->get());
     else
-        faultAt(key, std::move(expected));
+        addFault(key, std::move(expected));
 }
 
-void TableReader::number(std::string_view key, uint32_t& into, NumberRange range, Presence presence)
+void TableReader::readNumber(std::string_view key, uint32_t& into, NumberRange range, Presence presence)
 {
     uint64_t wide = into;
-    number(key, wide, range, presence);
+    readNumber(key, wide, range, presence);
     into = static_cast<uint32_t>(wide);
 }
 
-void TableReader::weight(std::string_view key, double& into) { decimal(key, into, true); }
+void TableReader::readWeight(std::string_view key, double& into) { readDecimal(key, into, true); }
 
-void TableReader::share(std::string_view key, double& into) { decimal(key, into, false); }
+void TableReader::readShare(std::string_view key, double& into) { readDecimal(key, into, false); }
 
-void TableReader::decimal(std::string_view key, double& into, bool zeroAllowed)
+void TableReader::readDecimal(std::string_view key, double& into, bool zeroAllowed)
 {
     const toml::node* node = find(key, Presence::Optional, {});
     if (!node)
@@ -115,14 +115,14 @@
     else if (const auto* whole = node->as_integer())
         value = static_cast<double>(whole->get());
     // A NaN fails both comparisons.
-    bool inRange = value <= highestWeight && (zeroAllowed ? value >= 0 : value > 0);
+    bool inRange = value <= maxWeight && (zeroAllowed ? value >= 0 : value > 0);
     if (inRange)
         into = value;
     else
-        faultAt(key, fmt::format("a number {} 0, at most {}", zeroAllowed ? "not below" : "above", highestWeight));
+        addFault(key, fmt::format("a number {} 0, at most {}", zeroAllowed ? "not below" : "above", maxWeight));
 }
 
-void TableReader::choice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond)
+void TableReader::readChoice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond)
 {
     const toml::node* node = find(key, Presence::Optional, {});
     if (!node)
@@ -131,49 +131,49 @@
     if (value && (value->get() == first || value->get() == second))
         isSecond = value->get() == second;
     else
-        faultAt(key, fmt::format("\"{}\" or \"{}\"", first, second));
+        addFault(key, fmt::format("\"{}\" or \"{}\"", first, second));
 }
 
-void TableReader::expect(std::string_view key) { m_asked.push_back(key); }
+void TableReader::markKnown(std::string_view key) { m_knownKeys.push_back(key); }
 
-void TableReader::refuse(std::string_view key, std::string_view expected)
+void TableReader::rejectKey(std::string_view key, std::string_view expected)
 {
     if (!m_table.contains(key))
         return;
-    expect(key);
-    faultAt(key, std::string(expected));
+    markKnown(key);
+    addFault(key, std::string(expected));
 }
 
-void TableReader::finish()
+void TableReader::reportUnknownKeys()
 {
     for (const auto& [key, node] : m_table) {
-        if (std::ranges::find(m_asked, key.str()) != m_asked.end())
+        if (std::ranges::find(m_knownKeys, key.str()) != m_knownKeys.end())
             continue;
-        m_faults.push_back(Kumquatpick::faultAt(key.source(), pathTo(key.str()),
-            fmt::format("no such key; the keys here are {}", fmt::join(m_asked, ", "))));
+        m_faults.push_back(Kumquatpick::makeFault(key.source(), pathTo(key.str()),
+            fmt::format("no such key; the keys here are {}", fmt::join(m_knownKeys, ", "))));
     }
 }
 
-void TableReader::faultAt(std::string_view key, std::string expected)
+void TableReader::addFault(std::string_view key, std::string expected)
 {
     const toml::node* node = m_table.get(key);
     m_faults.push_back(
-        Kumquatpick::faultAt(node ? node->source() : m_table.source(), pathTo(key), std::move(expected)));
+        Kumquatpick::makeFault(node ? node->source() : m_table.source(), pathTo(key), std::move(expected)));
 }
 
-void TableReader::faultAtElement(std::string_view key, size_t index, std::string expected)
+void TableReader::addElementFault(std::string_view key, size_t index, std::string expected)
 {
     const toml::array* array = m_table[key].as_array();
     const toml::source_region& region = array && index < array->size() ? (*array)[index].source() : m_table.source();
-    m_faults.push_back(Kumquatpick::faultAt(region, fmt::format("{}[{}]", pathTo(key), index), std::move(expected)));
+    m_faults.push_back(Kumquatpick::makeFault(region, fmt::format("{}[{}]", pathTo(key), index), std::move(expected)));
 }
 
 const toml::node* TableReader::find(std::string_view key, Presence presence, std::string_view expected)
 {
-    m_asked.push_back(key);
+    m_knownKeys.push_back(key);
     const toml::node* node = m_table.get(key);
     if (!node && presence == Presence::Required)
-        faultAt(key, fmt::format("{}; the key is missing", expected));
+        addFault(key, fmt::format("{}; the key is missing", expected));
     return node;
 }
 
--- a/src/operator/tablereader.h
+++ b/src/operator/tablereader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <cstdint>
 #include <string>
@@ -27,41 +27,41 @@
 // Reads a TOML table key by key and collects its faults. An invalid value leaves the output unchanged.
 class TableReader {
 public:
-    TableReader(const toml::table&, std::string path, std::vector<TextFault>&);
+    TableReader(const toml::table&, std::string path, std::vector<ConfigFault>&);
 
-    void name(std::string_view key, std::string& into, Presence);
-    void names(std::string_view key, std::vector<std::string>& into, Presence);
-    void number(std::string_view key, uint64_t& into, NumberRange, Presence);
-    void number(std::string_view key, uint32_t& into, NumberRange, Presence);
+    void readName(std::string_view key, std::string& into, Presence);
+    void readNames(std::string_view key, std::vector<std::string>& into, Presence);
+    void readNumber(std::string_view key, uint64_t& into, NumberRange, Presence);
+    void readNumber(std::string_view key, uint32_t& into, NumberRange, Presence);
     // Finite numbers: a weight is zero or more, a share is above zero.
-    void weight(std::string_view key, double& into);
-    void share(std::string_view key, double& into);
+    void readWeight(std::string_view key, double& into);
+    void readShare(std::string_view key, double& into);
     // One of two words; isSecond is set to whether it was the second.
-    void choice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond);
+    void readChoice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond);
 
     // Marks a key that is read elsewhere as known.
-    void expect(std::string_view key);
+    void markKnown(std::string_view key);
     // Adds a fault if the table has a key that is not allowed here.
-    void refuse(std::string_view key, std::string_view expected);
+    void rejectKey(std::string_view key, std::string_view expected);
     // Adds a fault for each unknown key.
-    void finish();
+    void reportUnknownKeys();
 
     // Adds a fault at a key's value, or at the table if the key is absent.
-    void faultAt(std::string_view key, std::string expected);
+    void addFault(std::string_view key, std::string expected);
     // Adds a fault at one element of a key's array.
-    void faultAtElement(std::string_view key, size_t index, std::string expected);
+    void addElementFault(std::string_view key, size_t index, std::string expected);
 
 private:
     const toml::node* find(std::string_view key, Presence, std::string_view expected);
-    void decimal(std::string_view key, double& into, bool zeroAllowed);
+    void readDecimal(std::string_view key, double& into, bool zeroAllowed);
     std::string pathTo(std::string_view key) const;
 
     const toml::table& m_table;
     std::string m_path;
-    std::vector<TextFault>& m_faults;
-    std::vector<std::string_view> m_asked;
+    std::vector<ConfigFault>& m_faults;
+    std::vector<std::string_view> m_knownKeys;
 };
 
-TextFault faultAt(const toml::source_region&, std::string key, std::string expected);
+ConfigFault makeFault(const toml::source_region&, std::string key, std::string expected);
 
 } // namespace Kumquatpick
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -88,7 +88,7 @@
 
     std::shared_mutex mutex;
     std::map<std::string, std::unique_ptr<ServiceGate>, std::less<>> gates;
-    std::vector<TeamText> teams;
+    std::vector<TeamConfig> teams;
     Random seeds = seededFromSystem();
     bool shuttingDown = false;
 };
@@ -100,13 +100,13 @@
 
 Admission::~Admission() = default;
 
-void Admission::configure(const OperatorsText& text)
+void Admission::configure(const OperatorConfig& text)
 {
     {
         std::lock_guard lock(m_impl->mutex);
         m_impl->teams = text.teams;
     }
-    for (const ServiceText& service : text.services) {
+    for (const ServiceConfig& service : text.services) {
         ServiceGate& gate = m_impl->findOrAdd(service.name);
         std::lock_guard lock(gate.mutex);
         gate.queue.configure(service.queueLimit, text.teams);
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/clock.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <cstdint>
 #include <memory>
@@ -53,7 +53,7 @@
     Admission();
     ~Admission();
 
-    void configure(const OperatorsText&);
+    void configure(const OperatorConfig&);
     // The streams that this node may run on a service at once: its share of the replicas' capacity.
     void setCapacity(std::string_view service, uint32_t streams, MonotonicTime now);
     void setRemoteUsage(std::span<const TeamUsage> summedOverOtherNodes);
--- a/src/policy/bench_limits.cpp
+++ b/src/policy/bench_limits.cpp
@@ -136,7 +136,7 @@
         {
             uint32_t count = variant.oneQueue ? 1 : entryNodes;
             uint32_t streams = variant.oneQueue ? allStreams : streamsPerNode;
-            std::vector<TeamText> teams;
+            std::vector<TeamConfig> teams;
             for (const TeamModel& model : teamModels())
                 teams.push_back({ model.name, 1, variant.teamLimits && model.name == "flood" ? floodLimit : 0 });
             for (uint32_t node = 0; node < count; ++node) {
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -72,7 +72,7 @@
     return found != m_teams.end() ? found->second : m_teams[std::string(name)];
 }
 
-void FairQueue::configure(uint32_t queueLimit, std::span<const TeamText> teams)
+void FairQueue::configure(uint32_t queueLimit, std::span<const TeamConfig> teams)
 {
     m_queueLimit = queueLimit;
     std::erase_if(m_teams, [](const auto& entry) { return !entry.second.running && entry.second.waiting.empty(); });
@@ -80,7 +80,7 @@
         team.weight = 1;
         team.limit = 0;
     }
-    for (const TeamText& text : teams) {
+    for (const TeamConfig& text : teams) {
         Team& team = findOrAddTeam(text.name);
         team.weight = std::max(1e-6, text.share);
         team.limit = text.streamLimit;
--- a/src/policy/fairqueue.h
+++ b/src/policy/fairqueue.h
@@ -51,7 +51,7 @@
 public:
     explicit FairQueue(FairQueueSettings settings = {});
 
-    void configure(uint32_t queueLimit, std::span<const TeamText>);
+    void configure(uint32_t queueLimit, std::span<const TeamConfig>);
     void setCapacity(uint32_t streams, MonotonicTime now, Random&);
     // Usage of this service summed over the other nodes; teams not listed count as unused there.
     void setRemoteUsage(std::span<const TeamUsage>, MonotonicTime now);
--- a/src/tool/check.cpp
+++ b/src/tool/check.cpp
@@ -1,4 +1,4 @@
-#include "operator/text.h"
+#include "operator/config.h"
 #include "tool/commands.h"
 #include "tool/faultlist.h"
 #include "tool/jsonanswer.h"
@@ -12,11 +12,11 @@
 
 namespace {
 
-    std::string summary(const OperatorsText& text)
+    std::string summary(const OperatorConfig& text)
     {
         uint64_t replicas = 0;
         uint64_t hosts = 0;
-        for (const ServiceText& service : text.services) {
+        for (const ServiceConfig& service : text.services) {
             replicas += service.replicas;
             hosts += uint64_t(service.replicas) * service.hostsPerReplica;
         }
@@ -39,10 +39,10 @@
     std::optional<std::string> text = readInput(path, context);
     if (!text)
         return ExitCode::Usage;
-    auto parsed = parseOperatorsText(*text);
+    auto parsed = parseOperatorConfig(*text);
     const auto* faults = std::get_if<1>(&parsed);
     if (json)
-        context.out << dumpJson(faultsToJson(faults ? *faults : std::vector<TextFault>())) << "\n";
+        context.out << dumpJson(faultsToJson(faults ? *faults : std::vector<ConfigFault>())) << "\n";
     else if (faults)
         context.out << describeFaults(path, *faults);
     else
--- a/src/tool/faultlist.h
+++ b/src/tool/faultlist.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <nlohmann/json_fwd.hpp>
 #include <span>
@@ -11,10 +11,10 @@
 namespace Kumquatpick {
 
 // One line a fault, then how many there are.
-std::string describeFaults(std::string_view file, std::span<const TextFault>);
+std::string describeFaults(std::string_view file, std::span<const ConfigFault>);
 
 // {"faults":[{"line":..,"column":..,"key":"..","expected":".."}]}, as nodes answer too.
-nlohmann::json faultsToJson(std::span<const TextFault>);
-std::vector<TextFault> faultsFromJson(const nlohmann::json&);
+nlohmann::json faultsToJson(std::span<const ConfigFault>);
+std::vector<ConfigFault> faultsFromJson(const nlohmann::json&);
 
 } // namespace Kumquatpick
--- a/src/tool/publication.h
+++ b/src/tool/publication.h
@@ -2,7 +2,7 @@
 
 #include "base/clock.h"
 #include "base/error.h"
-#include "operator/text.h"
+#include "operator/config.h"
 #include "tool/nodeclient.h"
 
 #include <cstdint>
@@ -33,7 +33,7 @@
 struct PublishResult {
     PublishVerdict verdict = PublishVerdict::NotSent;
     uint64_t version = 0; // The accepted one, or the one that came first.
-    std::vector<TextFault> faults;
+    std::vector<ConfigFault> faults;
     std::string problem; // Why there is no verdict.
 };
 
--- a/src/tool/publish.cpp
+++ b/src/tool/publish.cpp
@@ -131,7 +131,7 @@
     Publication publication { settings.id.empty() ? freshId() : settings.id, settings.basedOn.value_or(0),
         std::move(*text), settings.operatorName };
     // Faults are found here first, so that a mistake costs no append.
-    auto parsed = parseOperatorsText(publication.text);
+    auto parsed = parseOperatorConfig(publication.text);
     if (auto* faults = std::get_if<1>(&parsed))
         return report(settings, publication, { PublishVerdict::Invalid, 0, std::move(*faults), {} }, context);
     NodeClient client(settings.common.nodes);
--- a/tests/caller/testnode.h
+++ b/tests/caller/testnode.h
@@ -173,7 +173,7 @@
 
     CallerSettings settings;
     NodeInfo self;
-    OperatorsText text;
+    OperatorConfig text;
     bool isReady = true;
     std::vector<EntryNode> nodes;
     std::shared_ptr<FakeJournal> journal;
@@ -205,7 +205,7 @@
                 return fail({ ErrorCode::Unreachable, Step::Answer, node.id.name, {} });
             return peer->second->storedAnswer(lookup);
         };
-        parts.text = [this] { return std::make_shared<const OperatorsText>(text); };
+        parts.text = [this] { return std::make_shared<const OperatorConfig>(text); };
         parts.ready = [this] { return isReady; };
         parts.entryNodes = [this] { return nodes; };
         parts.acceptedText = [] { return AcceptedText { 4, "text" }; };
--- a/tests/coordination/controller_test.cpp
+++ b/tests/coordination/controller_test.cpp
@@ -135,7 +135,7 @@
             if (!std::holds_alternative<LeaseProposal>(world.log[i].record.body))
                 problems.emplace_back("replicas are still moved about");
         }
-        for (const ServiceText& service : world.text().services) {
+        for (const ServiceConfig& service : world.text().services) {
             size_t ready = world.readyReplicas(service);
             if (ready != service.replicas)
                 problems.push_back(fmt::format("{}: {} of {} replicas", service.name, ready, service.replicas));
@@ -149,15 +149,15 @@
             RC_FAIL(problems.front());
     }
 
-    std::vector<ServiceText> twoServices(FencingSupport fencing)
+    std::vector<ServiceConfig> twoServices(FencingSupport fencing)
     {
         return { modelService("writers", 2, fencing), modelService("desk", 1, fencing) };
     }
 
     // A replica of four fits only where the small ones keep to one domain, so that faults leave it to a move.
-    std::vector<ServiceText> tightServices(FencingSupport fencing)
+    std::vector<ServiceConfig> tightServices(FencingSupport fencing)
     {
-        ServiceText large = modelService("writers", 1, fencing);
+        ServiceConfig large = modelService("writers", 1, fencing);
         large.hostsPerReplica = 4;
         return { modelService("desk", 2, fencing), large };
     }
@@ -434,7 +434,7 @@
         Scene two;
         two.host("a");
         two.host("b");
-        ServiceText first = modelService("zebra", 1, FencingSupport::Checked);
+        ServiceConfig first = modelService("zebra", 1, FencingSupport::Checked);
         two.service().dependsOn = { "zebra" };
         two.config.parsed.services.push_back(first);
         ASSERT_EQ(two.all<ClaimProposal>().size(), 1u);
--- a/tests/coordination/controllermove_test.cpp
+++ b/tests/coordination/controllermove_test.cpp
@@ -11,7 +11,7 @@
     // Nine hosts, four of them in d1: a replica of four fits only if the small ones keep to one domain.
     ControllerWorld tightWorld(uint64_t seed)
     {
-        ServiceText large = modelService("writers", 0, FencingSupport::Checked);
+        ServiceConfig large = modelService("writers", 0, FencingSupport::Checked);
         large.hostsPerReplica = 4;
         constexpr int hosts = 9;
         ControllerWorld world(seed, { modelService("desk", 2, FencingSupport::Checked), large }, hosts);
@@ -44,7 +44,7 @@
     struct MoveScene : Scene {
         MoveScene()
         {
-            ServiceText large = modelService("desk", 1, FencingSupport::Checked);
+            ServiceConfig large = modelService("desk", 1, FencingSupport::Checked);
             large.hostsPerReplica = 4;
             config.parsed.services.push_back(large);
             old = claim("r0", { "a", "b" });
@@ -85,7 +85,7 @@
             return lines;
         }
 
-        ServiceText& large() { return config.parsed.services.back(); }
+        ServiceConfig& large() { return config.parsed.services.back(); }
 
         Offset old = 0;
     };
@@ -182,7 +182,7 @@
         EXPECT_EQ(scene.orders(), (Lines { "load g", "load h" }));
         scene.obey(down, EnginePhase::Loading);
         EXPECT_EQ(scene.orders(), Lines {});
-        scene.rules.recoveryLoadsFirst = [](const ServiceText&) { return false; };
+        scene.rules.recoveryLoadsFirst = [](const ServiceConfig&) { return false; };
         EXPECT_EQ(scene.orders(), (Lines { "load e", "load f" }));
         scene.obey(down, EnginePhase::Idle);
         EXPECT_EQ(scene.orders(), (Lines { "load g", "load h", "load e", "load f" }));
@@ -191,7 +191,7 @@
     TEST(ControllerMoves, NoMoveIsBegunWithoutNeedOrBeyondTheBound)
     {
         MoveScene scene;
-        scene.rules.movesAtOnce = [](const ServiceText&, bool) { return 0; };
+        scene.rules.movesAtOnce = [](const ServiceConfig&, bool) { return 0; };
         EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "beyond the bound";
         scene.rules = movingRules();
         scene.large().replicas = 0;
@@ -219,7 +219,7 @@
     {
         MoveScene scene;
         scene.service().replicas = 2;
-        scene.rules.movesAtOnce = [](const ServiceText&, bool recoveriesWait) { return recoveriesWait ? 0 : 1; };
+        scene.rules.movesAtOnce = [](const ServiceConfig&, bool recoveriesWait) { return recoveriesWait ? 0 : 1; };
         Offset down = scene.claim("r1", { "g", "h" });
         EXPECT_EQ(scene.all<ClaimProposal>().size(), 1u);
         scene.obey(down, EnginePhase::Loading);
@@ -314,7 +314,7 @@
         to = { "d2", { "g", "h" } };
         ASSERT_EQ(scene.all<ClaimProposal>().size(), 1u);
         EXPECT_EQ(scene.all<ClaimProposal>().front().replaces, other);
-        scene.rules.movesAtOnce = [](const ServiceText&, bool) { return 1; };
+        scene.rules.movesAtOnce = [](const ServiceConfig&, bool) { return 1; };
         EXPECT_TRUE(scene.all<ClaimProposal>().empty()) << "one runs";
     }
 
--- a/tests/coordination/controllerworld.h
+++ b/tests/coordination/controllerworld.h
@@ -31,9 +31,9 @@
     return settings;
 }
 
-inline ServiceText modelService(std::string name, uint32_t replicas, FencingSupport fencing)
+inline ServiceConfig modelService(std::string name, uint32_t replicas, FencingSupport fencing)
 {
-    ServiceText service;
+    ServiceConfig service;
     service.name = std::move(name);
     service.model = "kumquat";
     service.modelVersion = "1";
@@ -69,7 +69,7 @@
     PlacementRules rules;
     rules.place = placeFirstFit;
     rules.move = moveFirstFit;
-    rules.movesAtOnce = [](const ServiceText&, bool recoveriesWait) { return recoveriesWait ? 1 : 2; };
+    rules.movesAtOnce = [](const ServiceConfig&, bool recoveriesWait) { return recoveriesWait ? 1 : 2; };
     return rules;
 }
 
@@ -101,7 +101,7 @@
     }
 
     NodeId id;
-    OperatorsText text; // As this one has read it so far.
+    OperatorConfig text; // As this one has read it so far.
 
     State state;
     LeaseTracker lease;
@@ -117,7 +117,7 @@
 // Log, hosts, list and controllers in one place, stepped by a seeded generator.
 class ControllerWorld {
 public:
-    ControllerWorld(uint64_t seed, std::vector<ServiceText> services, int hosts = worldHosts)
+    ControllerWorld(uint64_t seed, std::vector<ServiceConfig> services, int hosts = worldHosts)
         : m_random(seed)
     {
         m_text.services = std::move(services);
@@ -166,7 +166,7 @@
         controller = std::move(fresh);
     }
 
-    size_t readyReplicas(const ServiceText& service) const
+    size_t readyReplicas(const ServiceConfig& service) const
     {
         size_t ready = 0;
         for (const auto& [offset, claim] : truth.claims()) {
@@ -187,7 +187,7 @@
         return true;
     }
 
-    OperatorsText& text() { return m_text; }
+    OperatorConfig& text() { return m_text; }
 
     MonotonicTime now { 1000s };
     std::vector<LoggedRecord> log;
@@ -405,7 +405,7 @@
     }
 
     Random m_random;
-    OperatorsText m_text;
+    OperatorConfig m_text;
     std::deque<std::pair<MonotonicTime, std::map<std::string, FakeEngine>>> m_lists;
     std::vector<OrderInFlight> m_orders;
     std::map<Offset, MonotonicTime> m_endedAt;
@@ -468,7 +468,7 @@
         endedAt[claim] = now - 1h;
     }
 
-    ServiceText& service() { return config.parsed.services.front(); }
+    ServiceConfig& service() { return config.parsed.services.front(); }
 
     std::vector<ControllerAction> actions()
     {
--- a/tests/daemon/configview_test.cpp
+++ b/tests/daemon/configview_test.cpp
@@ -18,7 +18,7 @@
     {
         ConfigView view;
         std::vector<std::string> heard;
-        view.listen([&](const OperatorsText& text) { heard.push_back(text.deployment); });
+        view.listen([&](const OperatorConfig& text) { heard.push_back(text.deployment); });
         Offset newest = 0;
         std::vector<std::string> expected;
         for (uint8_t version : versions) {
--- a/tests/daemon/fleet.h
+++ b/tests/daemon/fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "backend/directory.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <map>
 #include <string>
@@ -11,9 +11,9 @@
 
 constexpr MonotonicTime fleetNow { std::chrono::hours(1) };
 
-inline ServiceText modelService(const std::string& name, uint32_t hostsPerReplica, uint32_t replicas)
+inline ServiceConfig modelService(const std::string& name, uint32_t hostsPerReplica, uint32_t replicas)
 {
-    ServiceText service;
+    ServiceConfig service;
     service.name = name;
     service.model = "kumquat";
     service.modelVersion = "1";
--- a/tests/daemon/routingfeed_test.cpp
+++ b/tests/daemon/routingfeed_test.cpp
@@ -15,7 +15,7 @@
     struct Feed {
         Feed()
         {
-            ServiceText service = modelService("writers", 2, 3);
+            ServiceConfig service = modelService("writers", 2, 3);
             service.streamsPerReplica = 8;
             service.queueLimit = 0;
             text.services = { service };
@@ -40,7 +40,7 @@
             return count;
         }
 
-        OperatorsText text;
+        OperatorConfig text;
         Fleet fleet;
         ReplicaDirectory directory { Milliseconds(1'000) };
         Router router { 1 };
--- a/tests/daemon/statusreport_test.cpp
+++ b/tests/daemon/statusreport_test.cpp
@@ -15,7 +15,7 @@
     {
         ReplicaDirectory directory { Milliseconds(1'000) };
         fleet.tell(directory);
-        OperatorsText text;
+        OperatorConfig text;
         text.services = { modelService("writers", 2, replicas) };
         NodeInfo self;
         return statusReport({ self, &text, 7, 9, true, false, {}, directory, fleetNow });
--- a/tests/daemon/weighedplacer_test.cpp
+++ b/tests/daemon/weighedplacer_test.cpp
@@ -16,7 +16,7 @@
         Question()
         {
             text.services = { modelService("writers", 2, 2), modelService("desk", 4, 1) };
-            ServiceText plain;
+            ServiceConfig plain;
             plain.name = "router";
             plain.kind = ServiceKind::Plain;
             text.services.push_back(plain);
@@ -40,7 +40,7 @@
             return placeWeighed.move({ about(1), movable });
         }
 
-        OperatorsText text;
+        OperatorConfig text;
         std::map<Offset, Claim> claims;
         std::map<std::string, FreeDomain> freeDomains;
     };
@@ -73,7 +73,7 @@
 
     TEST(WeighedPlacer, TheOperatorsWeightsSayHowManyMovesRunAndWhoseLoadsGoFirst)
     {
-        ServiceText service = modelService("desk", 4, 1);
+        ServiceConfig service = modelService("desk", 4, 1);
         service.groupDowntimeWeight = 0.8;
         service.strandedWeight = 0.2;
         EXPECT_TRUE(placeWeighed.recoveryLoadsFirst(service));
--- a/tests/log/fakelog.h
+++ b/tests/log/fakelog.h
@@ -41,7 +41,7 @@
     void setDown(bool down)
     {
         std::lock_guard lock(m_mutex);
-        m_down = down;
+        m_isDown = down;
         m_changed.notify_all();
     }
 
@@ -49,7 +49,7 @@
     void loseAnswers(int count) { m_answersToLose = count; }
     void loseAppends(int count) { m_appendsToLose = count; }
 
-    void put(std::string body)
+    void appendBody(std::string body)
     {
         std::lock_guard lock(m_mutex);
         m_bodies.push_back(std::move(body));
@@ -63,7 +63,7 @@
             m_bodies.pop_front();
     }
 
-    void forgetEverything()
+    void removeAllRecords()
     {
         std::lock_guard lock(m_mutex);
         m_bodies.clear();
@@ -83,13 +83,13 @@
     std::atomic<int> appendCalls { 0 };
 
 private:
-    static void breakOff(httplib::Response& response)
+    static void breakConnection(httplib::Response& response)
     {
         response.set_content_provider(
             100, "application/json", [](size_t, size_t, httplib::DataSink&) { return false; });
     }
 
-    static bool take(std::atomic<int>& left) { return left > 0 && left-- > 0; }
+    static bool consumeOne(std::atomic<int>& left) { return left > 0 && left-- > 0; }
 
     uint64_t next() const { return m_earliest + m_bodies.size(); }
 
@@ -97,17 +97,17 @@
     {
         ++appendCalls;
         std::lock_guard lock(m_mutex);
-        if (m_down) {
+        if (m_isDown) {
             response.status = 503;
             return;
         }
-        if (take(m_appendsToLose))
-            return breakOff(response);
+        if (consumeOne(m_appendsToLose))
+            return breakConnection(response);
         nlohmann::json answer = { { "offset", next() } };
         m_bodies.push_back(request.body);
         m_changed.notify_all();
-        if (take(m_answersToLose))
-            return breakOff(response);
+        if (consumeOne(m_answersToLose))
+            return breakConnection(response);
         response.set_content(answer.dump(), "application/json");
     }
 
@@ -117,8 +117,8 @@
         auto from = std::stoull(request.get_param_value("from"));
         auto limit = std::stoull(request.get_param_value("limit"));
         Milliseconds wait(std::stoll(request.get_param_value("wait_ms")));
-        m_changed.wait_for(lock, wait, [&] { return m_down || from < next(); });
-        if (m_down) {
+        m_changed.wait_for(lock, wait, [&] { return m_isDown || from < next(); });
+        if (m_isDown) {
             response.status = 503;
             return;
         }
@@ -136,7 +136,7 @@
     std::condition_variable m_changed;
     std::deque<std::string> m_bodies;
     uint64_t m_earliest = 1;
-    bool m_down = false;
+    bool m_isDown = false;
     std::atomic<int> m_answersToLose { 0 };
     std::atomic<int> m_appendsToLose { 0 };
     std::thread m_thread;
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -13,7 +13,7 @@
     using namespace std::chrono_literals;
     using Testing::FakeLog;
 
-    constexpr auto patience = 20s;
+    constexpr auto testTimeout = 20s;
 
     Record claimRecord(std::string id, const std::string& host)
     {
@@ -28,31 +28,31 @@
             , appender(reader)
         {
             reader.subscribe(
-                { [this](const FoldedRecord& record, MonotonicTime) { offsets.push_back(record.logged.offset); },
+                { [this](const AppliedRecord& record, MonotonicTime) { offsets.push_back(record.logged.offset); },
                     [this](MonotonicTime) { ++restores; } });
             reader.start();
         }
 
         bool eventually(const std::function<bool()>& predicate) const
         {
-            return reader.waitUntil(predicate, monotonicNow() + patience);
+            return reader.waitUntil(predicate, monotonicNow() + testTimeout);
         }
-        bool becomesReady() const
+        bool waitUntilReady() const
         {
             return eventually([&] { return reader.ready() && reader.reachable(); });
         }
-        bool reaches(Offset offset) const
+        bool waitUntilOffset(Offset offset) const
         {
             return eventually([&] { return reader.offset() >= offset; });
         }
-        bool seesOutage() const
+        bool detectsOutage() const
         {
             return eventually([&] { return !reader.reachable(); });
         }
 
-        std::variant<DecidedRecord, Error> propose(const Record& record, std::chrono::seconds patient = patience)
+        std::variant<DecidedRecord, Error> propose(const Record& record, std::chrono::seconds timeout = testTimeout)
         {
-            return settle([&] { return appender.propose(record, monotonicNow() + patient); });
+            return settle([&] { return appender.propose(record, monotonicNow() + timeout); });
         }
 
         std::string state() const
@@ -81,25 +81,25 @@
         EXPECT_FALSE(std::get<Error>(outcome).peer.empty());
     }
 
-    TEST(LogAppender, TwoNodesThatRaceGetOneVerdictEach)
+    TEST(LogAppender, ConcurrentClaimsOfOneHostGetDifferentVerdicts)
     {
         FakeLog log;
         NodeLog first(log);
         NodeLog second(log);
-        ASSERT_TRUE(first.becomesReady() && second.becomesReady());
+        ASSERT_TRUE(first.waitUntilReady() && second.waitUntilReady());
         expectDecided(first.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
         expectDecided(second.propose(claimRecord("id-two", "a")), 2, Verdict::Outdated);
-        ASSERT_TRUE(first.reaches(2) && second.reaches(2));
+        ASSERT_TRUE(first.waitUntilOffset(2) && second.waitUntilOffset(2));
         EXPECT_EQ(first.state(), second.state());
         first.reader.stop();
         EXPECT_EQ(first.offsets, (std::vector<Offset> { 1, 2 }));
     }
 
-    TEST(LogAppender, ALostAnswerIsSettledByReadingBack)
+    TEST(LogAppender, LostAnswerIsResolvedByReadingTheLog)
     {
         FakeLog log;
         NodeLog node(log);
-        ASSERT_TRUE(node.becomesReady());
+        ASSERT_TRUE(node.waitUntilReady());
         log.loseAnswers(1);
         expectDecided(node.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
         EXPECT_EQ(log.count("id-one"), 1u) << "the record must be found in the log and not appended again";
@@ -108,45 +108,45 @@
         EXPECT_EQ(log.appendCalls, 4);
     }
 
-    TEST(LogAppender, TheSameIdAtAnotherNodeGetsTheFirstVerdict)
+    TEST(LogAppender, SameIdOnAnotherNodeGetsTheFirstVerdict)
     {
         FakeLog log;
         NodeLog first(log);
         NodeLog second(log);
-        ASSERT_TRUE(first.becomesReady() && second.becomesReady());
+        ASSERT_TRUE(first.waitUntilReady() && second.waitUntilReady());
         expectDecided(first.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
-        ASSERT_TRUE(second.reaches(1));
+        ASSERT_TRUE(second.waitUntilOffset(1));
         expectDecided(second.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
         EXPECT_EQ(log.appendCalls, 1);
         // A second record with the same id, as by concurrent appends, is in the log but has no effect.
-        log.put(encode(claimRecord("id-one", "b")));
-        ASSERT_TRUE(second.reaches(2));
+        log.appendBody(encode(claimRecord("id-one", "b")));
+        ASSERT_TRUE(second.waitUntilOffset(2));
         EXPECT_EQ(second.reader.withState([](const State& state) { return state.holder("b"); }), nullptr);
     }
 
-    TEST(LogAppender, AnOutageIsSaidAtOnceAndTheIdStaysGood)
+    TEST(LogAppender, OutageFailsAtOnceAndTheIdCanBeReused)
     {
         FakeLog log;
         NodeLog node(log);
-        ASSERT_TRUE(node.becomesReady());
+        ASSERT_TRUE(node.waitUntilReady());
         log.setDown(true);
-        ASSERT_TRUE(node.seesOutage());
+        ASSERT_TRUE(node.detectsOutage());
         int callsBefore = log.appendCalls;
         expectUndecided(node.propose(claimRecord("id-one", "a"), 3600s)); // Fails without waiting for the deadline.
         EXPECT_EQ(log.appendCalls, callsBefore) << "nothing may be sent while the log is unreachable";
         log.setDown(false);
-        ASSERT_TRUE(node.becomesReady());
+        ASSERT_TRUE(node.waitUntilReady());
         expectDecided(node.propose(claimRecord("id-one", "a")), 1, Verdict::Accepted);
     }
 
-    TEST(LogAppender, ANodeThatNeverReachedTheLogSaysSo)
+    TEST(LogAppender, ProposeFailsIfTheLogWasNeverReachable)
     {
-        Address nobody;
+        Address unusedAddress;
         {
-            FakeLog gone;
-            nobody = gone.address();
+            FakeLog stopped;
+            unusedAddress = stopped.address();
         }
-        LogReader reader(LogClient(nobody, "main"), {}, 1);
+        LogReader reader(LogClient(unusedAddress, "main"), {}, 1);
         LogAppender appender(reader);
         reader.start();
         auto outcome = settle([&] { return appender.propose(claimRecord("id", "a"), monotonicNow() + 3600s); });
@@ -154,22 +154,22 @@
         auto append = settle([&] { return reader.client().append("x", 1s); });
         ASSERT_TRUE(std::holds_alternative<Error>(append));
         EXPECT_EQ(std::get<Error>(append).code, ErrorCode::Unreachable);
-        EXPECT_EQ(std::get<Error>(append).peer, nobody.toString());
+        EXPECT_EQ(std::get<Error>(append).peer, unusedAddress.toString());
     }
 
-    TEST(LogReader, SkipsWhatItCannotReadAndGoesOn)
+    TEST(LogReader, SkipsUnreadableRecords)
     {
         FakeLog log;
-        log.put("not json");
-        log.put(R"({"id":"x","kind":"from the future"})");
-        log.put(encode(claimRecord("id-one", "a")));
+        log.appendBody("not json");
+        log.appendBody(R"({"id":"x","kind":"from the future"})");
+        log.appendBody(encode(claimRecord("id-one", "a")));
         NodeLog node(log);
-        ASSERT_TRUE(node.reaches(3));
+        ASSERT_TRUE(node.waitUntilOffset(3));
         EXPECT_NE(node.reader.withState([](const State& state) { return state.holder("a"); }), nullptr);
     }
 
     // Appends claims on h1, h2, ... and, at the given offsets, a snapshot of all records before it.
-    void fill(FakeLog& log, State& state, Offset upTo, const std::set<Offset>& snapshotsAt)
+    void appendClaims(FakeLog& log, State& state, Offset upTo, const std::set<Offset>& snapshotsAt)
     {
         while (state.offset() < upTo) {
             Offset offset = state.offset() + 1;
@@ -178,99 +178,99 @@
             if (snapshotsAt.contains(offset))
                 record.body = snapshotParts(state, "series-" + number).front();
             state.apply({ offset, record });
-            log.put(encode(record));
+            log.appendBody(encode(record));
         }
     }
 
-    TEST(LogReader, StartsFromASnapshotOnceEarlyRecordsHaveExpired)
+    TEST(LogReader, RestoresFromSnapshotIfEarlyRecordsHaveExpired)
     {
         for (Offset earliest = 1; earliest <= 10; ++earliest) {
             FakeLog log;
             State state;
-            fill(log, state, 15, { 5, 10 });
+            appendClaims(log, state, 15, { 5, 10 });
             log.expireBefore(earliest);
             NodeLog node(log);
-            ASSERT_TRUE(node.reaches(15));
+            ASSERT_TRUE(node.waitUntilOffset(15));
             EXPECT_EQ(node.state(), state.snapshot()) << "earliest " << earliest;
             node.reader.stop();
             EXPECT_EQ(node.restores, earliest > 1);
         }
     }
 
-    TEST(LogReader, WithoutASnapshotThatReachesItsFirstRecordIsNotReady)
+    TEST(LogReader, NotReadyWithoutASnapshotUpToTheFirstRecord)
     {
         FakeLog log;
         State state;
-        fill(log, state, 4, {});
+        appendClaims(log, state, 4, {});
         Record stale { "stale", snapshotParts(state, "stale").front() };
-        fill(log, state, 7, {});
+        appendClaims(log, state, 7, {});
         state.apply({ 8, stale });
-        log.put(encode(stale));
-        fill(log, state, 15, {});
+        log.appendBody(encode(stale));
+        appendClaims(log, state, 15, {});
         log.expireBefore(6); // The snapshot at offset 8 covers records up to 4, so record 5 is missing.
         NodeLog node(log);
         EXPECT_TRUE(node.eventually([&] { return node.reader.reachable(); }));
         EXPECT_FALSE(node.reader.ready());
         EXPECT_EQ(node.reader.offset(), 0u);
-        fill(log, state, 18, { 16 }); // As if another node appended a newer snapshot.
-        ASSERT_TRUE(node.becomesReady());
-        ASSERT_TRUE(node.reaches(18));
+        appendClaims(log, state, 18, { 16 }); // As if another node appended a newer snapshot.
+        ASSERT_TRUE(node.waitUntilReady());
+        ASSERT_TRUE(node.waitUntilOffset(18));
         EXPECT_EQ(node.state(), state.snapshot());
     }
 
-    TEST(LogReader, OneThatWasAwayTooLongStartsAnewAndKeepsItsAdoptedText)
+    TEST(LogReader, RestoresFromSnapshotAfterLongOutageAndKeepsAdoptedConfig)
     {
         FakeLog log;
         State state;
-        fill(log, state, 3, {});
+        appendClaims(log, state, 3, {});
         NodeLog node(log);
-        ASSERT_TRUE(node.reaches(3));
+        ASSERT_TRUE(node.waitUntilOffset(3));
         log.setDown(true);
-        ASSERT_TRUE(node.seesOutage());
+        ASSERT_TRUE(node.detectsOutage());
         constexpr std::string_view text = "[deployment]\nname = \"bengal\"\nzones = [\"howrah\"]\n";
         EXPECT_TRUE(node.reader.adoptConfig(100, text));
-        fill(log, state, 20, { 10 });
+        appendClaims(log, state, 20, { 10 });
         log.expireBefore(8);
         log.setDown(false);
-        ASSERT_TRUE(node.reaches(20));
+        ASSERT_TRUE(node.waitUntilOffset(20));
         EXPECT_EQ(node.state(), state.snapshot());
         EXPECT_EQ(node.reader.withState([](const State& state) { return state.config()->version; }), 100u);
-        EXPECT_FALSE(node.reader.snapshotNeed().uncoveredExpired);
-        EXPECT_EQ(node.reader.snapshotNeed().snapshotCovers, 9u);
-        EXPECT_EQ(node.reader.snapshotNeed().oldestNeeded, WallTime(10'000ms));
+        EXPECT_FALSE(node.reader.snapshotStatus().uncoveredExpired);
+        EXPECT_EQ(node.reader.snapshotStatus().snapshotCovers, 9u);
+        EXPECT_EQ(node.reader.snapshotStatus().oldestUncoveredTime, WallTime(10'000ms));
     }
 
-    TEST(LogReader, ASnapshotInPartsSurvivesLostAnswersAndStartsAFreshReader)
+    TEST(LogReader, SnapshotInPartsSurvivesLostAnswersAndRestoresANewReader)
     {
         FakeLog log;
         State state;
-        fill(log, state, 5, {});
+        appendClaims(log, state, 5, {});
         NodeLog old(log);
-        ASSERT_TRUE(old.becomesReady() && old.reaches(5));
+        ASSERT_TRUE(old.waitUntilReady() && old.waitUntilOffset(5));
         log.loseAnswers(1);
         log.loseAppends(1);
         Random random(1);
         constexpr size_t partBytes = 128;
         auto appended
-            = settle([&] { return old.appender.appendSnapshot(random, monotonicNow() + patience, partBytes); });
+            = settle([&] { return old.appender.appendSnapshot(random, monotonicNow() + testTimeout, partBytes); });
         ASSERT_TRUE(std::holds_alternative<std::monostate>(appended));
-        EXPECT_EQ(old.reader.snapshotNeed().snapshotCovers, 5u);
+        EXPECT_EQ(old.reader.snapshotStatus().snapshotCovers, 5u);
         ASSERT_GT(old.reader.offset(), 7u) << "the snapshot must have several parts";
         log.expireBefore(6);
         NodeLog fresh(log);
-        ASSERT_TRUE(fresh.reaches(old.reader.offset()));
+        ASSERT_TRUE(fresh.waitUntilOffset(old.reader.offset()));
         EXPECT_EQ(fresh.state(), old.state());
     }
 
-    TEST(LogReader, ALogThatLostItsRecordsDoesNotRevertTheState)
+    TEST(LogReader, LogThatLostRecordsDoesNotRevertTheState)
     {
         FakeLog log;
         State state;
-        fill(log, state, 3, {});
+        appendClaims(log, state, 3, {});
         NodeLog node(log);
-        ASSERT_TRUE(node.reaches(3));
-        log.forgetEverything();
-        ASSERT_TRUE(node.seesOutage());
+        ASSERT_TRUE(node.waitUntilOffset(3));
+        log.removeAllRecords();
+        ASSERT_TRUE(node.detectsOutage());
         EXPECT_EQ(node.state(), state.snapshot());
     }
 
--- a/tests/membership/client_test.cpp
+++ b/tests/membership/client_test.cpp
@@ -12,23 +12,24 @@
 
     using namespace std::chrono_literals;
 
-    std::string backend(const std::string& host, const std::string& state = "live", const std::string& more = "")
+    std::string backendJson(const std::string& host, const std::string& state = "live", const std::string& more = "")
     {
         return fmt::format(R"({{"host":"{}","role":"backend","address":"10.0.0.1:80","zone":"howrah","domain":"d1",)"
                            R"("incarnation":"00000000000000ff","state":"{}"{}}})",
             host, state, more);
     }
 
-    const std::string entry = R"({"host":"e1","role":"entry","address":"10.0.0.7:7100","peer_address":"10.0.0.7:7200",)"
-                              R"("zone":"siliguri","incarnation":"0000000000000001","state":"leaving"})";
+    const std::string entryJson
+        = R"({"host":"e1","role":"entry","address":"10.0.0.7:7100","peer_address":"10.0.0.7:7200",)"
+          R"("zone":"siliguri","incarnation":"0000000000000001","state":"leaving"})";
 
-    std::string list(int revision, const std::string& hosts)
+    std::string listJson(int revision, const std::string& hosts)
     {
         return fmt::format(R"({{"revision":{},"hosts":[{}]}})", revision, hosts);
     }
 
     // Collects the lists that a client passes to its listener.
-    class Heard {
+    class ReceivedLists {
     public:
         MembershipClient::Listener listener()
         {
@@ -39,7 +40,7 @@
             };
         }
 
-        MembershipSnapshot wait(size_t count)
+        MembershipSnapshot waitForCount(size_t count)
         {
             std::unique_lock lock(m_mutex);
             m_changed.wait(lock, [&] { return m_lists.size() >= count; });
@@ -64,8 +65,8 @@
 
 TEST(Membership, ReadsBackendsAndEntries)
 {
-    auto text = list(4,
-        backend("h1") + "," + backend("desk1", "draining", R"(,"service":"results-desk")") + "," + entry
+    auto text = listJson(4,
+        backendJson("h1") + "," + backendJson("desk1", "draining", R"(,"service":"results-desk")") + "," + entryJson
             + R"(,{"host":"x","role":"printer"})");
     auto settled = settle([&] { return parseMembership(text, {}); });
     ASSERT_EQ(settled.index(), 0U);
@@ -82,54 +83,55 @@
 }
 
 // If an unreadable host were skipped, it would count as dead and its accelerators would be given to another replica.
-TEST(Membership, ListThatIsNotWhollyReadableIsRefusedWhole)
+TEST(Membership, PartlyUnreadableListIsRejected)
 {
-    std::string noState = backend("h2");
+    std::string noState = backendJson("h2");
     noState.replace(noState.find(R"("state")"), 7, R"("stat")");
-    std::string badAddress = backend("h2");
+    std::string badAddress = backendJson("h2");
     badAddress.replace(badAddress.find("10.0.0.1:80"), 11, "host.example");
-    for (const std::string& text : { std::string("{"), list(1, backend("h1") + "," + noState),
-             list(1, backend("h1") + "," + badAddress), list(1, backend("h1") + "," + backend("h1")),
-             std::string(R"({"revision":1})"), list(1, backend("h1") + ",7") }) {
+    for (const std::string& text :
+        { std::string("{"), listJson(1, backendJson("h1") + "," + noState),
+            listJson(1, backendJson("h1") + "," + badAddress), listJson(1, backendJson("h1") + "," + backendJson("h1")),
+            std::string(R"({"revision":1})"), listJson(1, backendJson("h1") + ",7") }) {
         auto settled = settle([&] { return parseMembership(text, {}); });
         ASSERT_EQ(settled.index(), 1U) << text;
         EXPECT_EQ(std::get<1>(settled).code, ErrorCode::Malformed);
     }
 }
 
-RC_GTEST_PROP(Membership, CutListIsNeverRead, ())
+RC_GTEST_PROP(Membership, TruncatedListIsRejected, ())
 {
-    std::string text = list(1, backend("h1") + "," + entry);
+    std::string text = listJson(1, backendJson("h1") + "," + entryJson);
     auto length = *rc::gen::inRange<size_t>(0, text.size());
     RC_ASSERT(settle([&] { return parseMembership(text.substr(0, length), {}); }).index() == 1U);
 }
 
-TEST(Membership, TellsOnlyOfChanges)
+TEST(Membership, NotifiesOnlyOfChanges)
 {
     FakeServer server;
-    server.answer(200, list(1, backend("h1")));
-    Heard heard;
+    server.answer(200, listJson(1, backendJson("h1")));
+    ReceivedLists received;
     TimerService timer;
-    MembershipClient client(timer, { server.address(), 5ms, 10s }, heard.listener());
-    EXPECT_EQ(heard.wait(1).backends.size(), 1U);
-    server.answer(200, list(2, backend("h1"))); // Same hosts, new revision: no notification.
+    MembershipClient client(timer, { server.address(), 5ms, 10s }, received.listener());
+    EXPECT_EQ(received.waitForCount(1).backends.size(), 1U);
+    server.answer(200, listJson(2, backendJson("h1"))); // Same hosts, new revision: no notification.
     waitForRead(client, monotonicNow());
-    server.answer(200, list(3, backend("h1", "leaving")));
-    EXPECT_TRUE(heard.wait(2).backends.at(0).leaving);
-    server.answer(200, list(4, ""));
-    EXPECT_TRUE(heard.wait(3).backends.empty());
+    server.answer(200, listJson(3, backendJson("h1", "leaving")));
+    EXPECT_TRUE(received.waitForCount(2).backends.at(0).leaving);
+    server.answer(200, listJson(4, ""));
+    EXPECT_TRUE(received.waitForCount(3).backends.empty());
 }
 
 TEST(Membership, OutageKeepsTheLastListAndItsAge)
 {
     FakeServer server;
-    server.answer(200, list(1, backend("h1")));
-    Heard heard;
+    server.answer(200, listJson(1, backendJson("h1")));
+    ReceivedLists received;
     TimerService timer;
-    MembershipClient client(timer, { server.address(), 5ms, 10s }, heard.listener());
+    MembershipClient client(timer, { server.address(), 5ms, 10s }, received.listener());
     EXPECT_EQ(client.age(monotonicNow()).has_value(), client.snapshot() != nullptr);
-    heard.wait(1);
-    for (const std::string& bad : { std::string(""), list(9, backend("h1") + ",{}") }) {
+    received.waitForCount(1);
+    for (const std::string& bad : { std::string(""), listJson(9, backendJson("h1") + ",{}") }) {
         server.answer(200, bad);
         size_t reads = server.reads();
         while (server.reads() < reads + 3)
--- a/tests/operator/text_test.cpp
+++ b/tests/operator/config_test.cpp
@@ -1,4 +1,4 @@
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-    constexpr std::string_view validText = R"([deployment]
+    constexpr std::string_view validToml = R"([deployment]
 name = "bengal"
 zones = ["salt-lake", "howrah"]
 
@@ -39,11 +39,11 @@
 stream_limit = 100
 )";
 
-    OperatorsText validParsed()
+    OperatorConfig validConfig()
     {
-        ServiceText writers { "writers", ServiceKind::Model, "kumquat", "3.1", 1000, 2, 60, { "desk" }, 8, 32,
+        ServiceConfig writers { "writers", ServiceKind::Model, "kumquat", "3.1", 1000, 2, 60, { "desk" }, 8, 32,
             FencingSupport::Ignored, 0.9, 0 };
-        ServiceText desk;
+        ServiceConfig desk;
         desk.name = "desk";
         desk.kind = ServiceKind::Plain;
         desk.replicas = 3;
@@ -52,17 +52,17 @@
 
     std::vector<std::string> faultsOf(std::string_view toml)
     {
-        auto parsed = parseOperatorsText(toml);
+        auto parsed = parseOperatorConfig(toml);
         std::vector<std::string> lines;
         if (const auto* faults = std::get_if<1>(&parsed))
-            for (const TextFault& fault : *faults)
+            for (const ConfigFault& fault : *faults)
                 lines.push_back(fault.describe("f"));
         return lines;
     }
 
     std::string replaced(std::string_view from, std::string_view to)
     {
-        std::string text(validText);
+        std::string text(validToml);
         size_t at = text.find(from);
         EXPECT_NE(at, std::string::npos) << from;
         return text.replace(at, from.size(), to);
@@ -70,19 +70,19 @@
 
 }
 
-TEST(OperatorsText, ReadsEveryKey)
+TEST(OperatorConfig, ReadsEveryKey)
 {
-    auto parsed = parseOperatorsText(validText);
-    ASSERT_EQ(parsed.index(), 0U) << fmt::format("{}", fmt::join(faultsOf(validText), "\n"));
-    const OperatorsText& text = std::get<0>(parsed);
-    EXPECT_EQ(text, validParsed());
+    auto parsed = parseOperatorConfig(validToml);
+    ASSERT_EQ(parsed.index(), 0U) << fmt::format("{}", fmt::join(faultsOf(validToml), "\n"));
+    const OperatorConfig& text = std::get<0>(parsed);
+    EXPECT_EQ(text, validConfig());
     EXPECT_EQ(text.service("desk"), &text.services[1]);
     EXPECT_EQ(text.service("nobody"), nullptr);
     EXPECT_EQ(text.team("coaches"), &text.teams[0]);
     EXPECT_EQ(text.team("nobody"), nullptr);
 }
 
-TEST(OperatorsText, NamesEachFaultWithItsPlace)
+TEST(OperatorConfig, ReportsEachFaultWithItsPosition)
 {
     struct Case {
         std::string_view from;
@@ -120,7 +120,7 @@
     }
 }
 
-TEST(OperatorsText, NamesAllFaultsAtOnceInOrderOfPlace)
+TEST(OperatorConfig, ReportsAllFaultsInOrderOfPosition)
 {
     constexpr std::string_view text = R"(extra = 1
 [deployment]
@@ -141,8 +141,8 @@
 share = -1
 )";
     std::vector<std::string> keys;
-    auto parsed = parseOperatorsText(text);
-    for (const TextFault& fault : std::get<1>(parsed))
+    auto parsed = parseOperatorConfig(text);
+    for (const ConfigFault& fault : std::get<1>(parsed))
         keys.push_back(fault.key);
     EXPECT_EQ(keys,
         (std::vector<std::string> { "extra", "deployment.name", "deployment.zones", "service[1].depends_on[0]",
@@ -150,19 +150,19 @@
 }
 
 // Deeply nested tables overflowed the stack when toml++ freed them.
-TEST(OperatorsText, BoundsTheDepthOfDottedKeys)
+TEST(OperatorConfig, BoundsTheDepthOfDottedKeys)
 {
     std::string deep;
     for (int i = 0; i < 100'000; ++i)
         deep += "a.";
     EXPECT_EQ(faultsOf(deep + "a = 1").size(), 1U);
-    EXPECT_FALSE(faultsOf(deep.substr(0, longestOperatorsLine - 5) + "a = 1").empty());
-    EXPECT_EQ(faultsOf(std::string(longestOperatorsText + 1, '\n')).size(), 1U);
+    EXPECT_FALSE(faultsOf(deep.substr(0, maxConfigLineBytes - 5) + "a = 1").empty());
+    EXPECT_EQ(faultsOf(std::string(maxConfigBytes + 1, '\n')).size(), 1U);
 }
 
 // 1,000 services in one cycle, each with many dependencies, would give gigabytes of messages if all cycles were listed
 // in full.
-TEST(OperatorsText, KeepsFaultsReadable)
+TEST(OperatorConfig, LimitsTheLengthOfTheFaultList)
 {
     std::string text = "[deployment]\nname = \"d\"\nzones = [\"z\"]\n";
     for (int i = 0; i < 1000; ++i) {
@@ -177,20 +177,20 @@
     EXPECT_LT(std::ranges::max(faults, {}, &std::string::size).size(), 300U);
 }
 
-RC_GTEST_PROP(OperatorsTextProperty, AnyTextGetsAVerdict, ())
+RC_GTEST_PROP(OperatorConfigProperty, ParsingIsDeterministicForAnyText, ())
 {
     const auto text = *rc::gen::string<std::string>();
-    auto first = parseOperatorsText(text);
-    RC_ASSERT(first == parseOperatorsText(text));
+    auto first = parseOperatorConfig(text);
+    RC_ASSERT(first == parseOperatorConfig(text));
 }
 
 // Replaces or removes random ranges of a valid configuration: parsing must be deterministic, and the positions of
 // faults must be inside the text.
-RC_GTEST_PROP(OperatorsTextProperty, MutationsGetTheSameVerdictTwice, ())
+RC_GTEST_PROP(OperatorConfigProperty, ParsingIsDeterministicForMutatedConfigs, ())
 {
     constexpr std::string_view pieces[] = { "\"", "[", "]", "=", "\n", ".", "-1", "1e400", "nan", "{", "}", "\\u0000",
         "9223372036854775808", "\xff", "[[service]]", "name", "depends_on = [\"writers\"]", "'''" };
-    std::string text(validText);
+    std::string text(validToml);
     const auto count = *rc::gen::inRange(1, 6);
     for (int i = 0; i < count; ++i) {
         const auto at = *rc::gen::inRange<size_t>(0, text.size());
@@ -198,12 +198,12 @@
         const auto piece = *rc::gen::inRange<size_t>(0, std::size(pieces));
         text.replace(at, cut, pieces[piece]);
     }
-    auto parsed = parseOperatorsText(text);
-    RC_ASSERT(parsed == parseOperatorsText(text));
+    auto parsed = parseOperatorConfig(text);
+    RC_ASSERT(parsed == parseOperatorConfig(text));
     if (const auto* faults = std::get_if<1>(&parsed)) {
         RC_ASSERT(!faults->empty());
         const auto lines = static_cast<uint32_t>(std::ranges::count(text, '\n') + 1);
-        RC_ASSERT(std::ranges::all_of(*faults, [&](const TextFault& fault) {
+        RC_ASSERT(std::ranges::all_of(*faults, [&](const ConfigFault& fault) {
             return fault.line >= 1 && fault.line <= lines + 1 && fault.column >= 1 && !fault.expected.empty();
         }));
     }
--- a/tests/operator/daemonsettings_test.cpp
+++ b/tests/operator/daemonsettings_test.cpp
@@ -12,13 +12,13 @@
 
     std::optional<std::string> emptyEnvironment(const std::string&) { return std::nullopt; }
 
-    const std::vector<std::string> needed { "--name=n1", "--zone=howrah", "--caller-listen=127.0.0.1:7100",
+    const std::vector<std::string> requiredArguments { "--name=n1", "--zone=howrah", "--caller-listen=127.0.0.1:7100",
         "--peer-listen=127.0.0.1:7101", "--log-service=127.0.0.1:1", "--membership=127.0.0.1:2",
         "--weight-store=127.0.0.1:3" };
 
     std::variant<DaemonSettings, SettingsExit> parseWith(std::vector<std::string> more)
     {
-        more.insert(more.begin(), needed.begin(), needed.end());
+        more.insert(more.begin(), requiredArguments.begin(), requiredArguments.end());
         return parseDaemonSettings(more, emptyEnvironment);
     }
 
@@ -30,17 +30,17 @@
 
 }
 
-TEST(DaemonSettings, AdvertisesWhatItListensOnUnlessTold)
+TEST(DaemonSettings, AdvertisesTheListenAddressByDefault)
 {
-    auto plain = parseWith({});
-    ASSERT_EQ(plain.index(), 0U) << std::get<1>(plain).text;
-    EXPECT_EQ(std::get<0>(plain).callerAdvertised.toString(), "127.0.0.1:7100");
-    EXPECT_EQ(std::get<0>(plain).lease, Milliseconds(10'000));
-    auto told = parseWith({ "--peer-advertised=10.0.0.1:9" });
-    EXPECT_EQ(std::get<0>(told).peerAdvertised.toString(), "10.0.0.1:9");
+    auto withDefaults = parseWith({});
+    ASSERT_EQ(withDefaults.index(), 0U) << std::get<1>(withDefaults).text;
+    EXPECT_EQ(std::get<0>(withDefaults).callerAdvertised.toString(), "127.0.0.1:7100");
+    EXPECT_EQ(std::get<0>(withDefaults).lease, Milliseconds(10'000));
+    auto withPeerAdvertised = parseWith({ "--peer-advertised=10.0.0.1:9" });
+    EXPECT_EQ(std::get<0>(withPeerAdvertised).peerAdvertised.toString(), "10.0.0.1:9");
 }
 
-TEST(DaemonSettings, RefusesWhatCannotWorkTogether)
+TEST(DaemonSettings, RejectsInconsistentSettings)
 {
     auto parsed = parseWith({ "--probe-lifetime-ms=300", "--answer-retention-s=4000", "--peer-advertised=[::]:7" });
     ASSERT_EQ(parsed.index(), 1U);
@@ -51,7 +51,7 @@
     EXPECT_EQ(std::ranges::count(std::get<1>(missing).text, '\n'), 8) << std::get<1>(missing).text;
 }
 
-TEST(DaemonSettings, EachIsInTheHelpAndOnTheOperatorsPage)
+TEST(DaemonSettings, EachIsInTheHelpAndInTheDocumentation)
 {
     std::string page = readPage("CONFIGURATION.md");
     DaemonSettingsHelp help = daemonSettingsHelp();
--- a/tests/operator/examples_test.cpp
+++ b/tests/operator/examples_test.cpp
@@ -1,4 +1,4 @@
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <filesystem>
 #include <fstream>
@@ -36,15 +36,15 @@
 {
     EXPECT_GE(examples().size(), 3U);
     for (const auto& path : examples()) {
-        auto parsed = parseOperatorsText(readFile(path));
+        auto parsed = parseOperatorConfig(readFile(path));
         if (const auto* faults = std::get_if<1>(&parsed))
-            for (const TextFault& fault : *faults)
+            for (const ConfigFault& fault : *faults)
                 ADD_FAILURE() << fault.describe(path.filename().string());
     }
 }
 
 // Together, the examples use every key.
-TEST(Examples, EachKeyIsOnTheOperatorsPage)
+TEST(Examples, EachKeyIsDocumented)
 {
     const std::string page = readFile(root() / "docs/CONFIGURATION.md");
     std::set<std::string> keys;
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -30,7 +30,7 @@
 
     // A queue with all streams in use and a mean run of one second.
     struct BusyQueue {
-        explicit BusyQueue(uint32_t streams, std::vector<TeamText> teams = {}, uint32_t queueLimit = 1000)
+        explicit BusyQueue(uint32_t streams, std::vector<TeamConfig> teams = {}, uint32_t queueLimit = 1000)
         {
             queue.configure(queueLimit, teams);
             queue.setCapacity(streams, start, random);
@@ -72,7 +72,7 @@
 RC_GTEST_PROP(FairQueue, SharesFollowWeightsForAnyArrivalOrder, ())
 {
     constexpr int perTeam = 30;
-    std::vector<TeamText> teams;
+    std::vector<TeamConfig> teams;
     std::vector<std::string> arrivals;
     for (const std::string& name : teamNames) {
         teams.push_back({ name, double(*rc::gen::inRange(1, 6)), 0 });
@@ -97,8 +97,8 @@
             const std::string& team = teamOf[decision.ticket];
             running.push_back(team);
             allWait = allWait && ++started[team] < perTeam;
-            for (const TeamText& left : teams) {
-                for (const TeamText& right : teams) {
+            for (const TeamConfig& left : teams) {
+                for (const TeamConfig& right : teams) {
                     double apart = started[left.name] / left.share - started[right.name] / right.share;
                     RC_ASSERT(!allWait || std::abs(apart) <= 1 / left.share + 1 / right.share + 1e-9);
                 }
@@ -154,7 +154,7 @@
     constexpr uint32_t teamLimit = 4;
     Random random(seed);
     FairQueue queue;
-    std::vector<TeamText> teams { { "a", 1, teamLimit }, { "b", 3, 0 } };
+    std::vector<TeamConfig> teams { { "a", 1, teamLimit }, { "b", 3, 0 } };
     queue.configure(queueLimit, teams);
     std::map<Ticket, std::string> asked;
     std::set<Ticket> waiting;
@@ -213,7 +213,7 @@
     constexpr uint32_t limit = 10;
     Random random(seed);
     std::vector<FairQueue> nodes(3);
-    std::vector<TeamText> teams { { "a", 1, limit } };
+    std::vector<TeamConfig> teams { { "a", 1, limit } };
     for (FairQueue& node : nodes) {
         node.configure(100, teams);
         node.setCapacity(8, start, random);
