--- a/src/caller/dependencies.h
+++ b/src/caller/dependencies.h
@@ -4,7 +4,7 @@
 #include "base/ids.h"
 #include "coordination/slotservice.h"
 #include "node/transport.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <functional>
 #include <memory>
@@ -48,7 +48,7 @@
 
     Kind kind = Kind::Undecided;
     Offset version = 0; // The new version if accepted, the current one if outdated.
-    std::vector<TextFault> faults; // Set if kind is Invalid.
+    std::vector<ConfigFault> faults; // Set if kind is Invalid.
 };
 
 // Dependencies of the caller-facing server. All are used by many threads at once and must outlive the server.
@@ -72,7 +72,7 @@
     std::function<Result<StoredAnswer>(const NodeInfo&, const std::string& lookup)> fetchAnswer;
 
     // The accepted operators' text, or nullptr while none is known; no requests are served until then.
-    std::function<std::shared_ptr<const OperatorsText>()> text;
+    std::function<std::shared_ptr<const OperatorConfig>()> text;
     std::function<bool()> isReady;
     std::function<std::vector<EntryNode>()> entryNodes; // The live nodes, including this one.
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -11,25 +11,25 @@
 namespace {
 
     // Returns the services in dependency order, so that a service loads and recovers before those that depend on it.
-    std::vector<const ServiceText*> inDependencyOrder(const OperatorsText& text)
+    std::vector<const ServiceConfig*> inDependencyOrder(const OperatorConfig& text)
     {
-        std::vector<const ServiceText*> order;
+        std::vector<const ServiceConfig*> order;
         std::set<std::string_view> placed;
-        auto place = [&](auto& self, const ServiceText& service) -> void {
+        auto place = [&](auto& self, const ServiceConfig& service) -> void {
             if (!placed.insert(service.name).second)
                 return;
             for (const std::string& name : service.dependsOn) {
-                if (const ServiceText* dependency = text.service(name))
+                if (const ServiceConfig* dependency = text.service(name))
                     self(self, *dependency);
             }
             order.push_back(&service);
         };
-        for (const ServiceText& service : text.services)
+        for (const ServiceConfig& service : text.services)
             place(place, service);
         return order;
     }
 
-    bool matches(const ClaimProposal& claim, const ServiceText& service)
+    bool matches(const ClaimProposal& claim, const ServiceConfig& service)
     {
         return claim.model == service.model && claim.modelVersion == service.modelVersion
             && claim.hosts.size() == service.hostsPerReplica;
@@ -82,7 +82,7 @@
             proposeFreedHosts();
             findFreeDomains();
             finishMoves();
-            for (const ServiceText* service : m_services) {
+            for (const ServiceConfig* service : m_services) {
                 if (service->kind == ServiceKind::Model)
                     scale(*service, m_serviceClaims[service->name]);
             }
@@ -99,32 +99,32 @@
         void proposeFreedHosts();
         void proposeFreedHostsOf(const Claim&);
         void findFreeDomains();
-        void scale(const ServiceText&, ServiceClaims&);
-        void endSurplusReplicas(const ServiceText&, ServiceClaims&);
-        void endForVersionChange(const ServiceText&, ServiceClaims&, size_t missing);
-        bool claimReplica(const ServiceText&);
-        bool proposeClaim(const ServiceText&, const Placement&, std::string replica, Offset replaces);
+        void scale(const ServiceConfig&, ServiceClaims&);
+        void endSurplusReplicas(const ServiceConfig&, ServiceClaims&);
+        void endForVersionChange(const ServiceConfig&, ServiceClaims&, size_t missing);
+        bool claimReplica(const ServiceConfig&);
+        bool proposeClaim(const ServiceConfig&, const Placement&, std::string replica, Offset replaces);
         void finishMoves();
         void finishMove(const RunningMove&, ServiceClaims&);
         void beginMoves();
         void countAvailableHosts();
-        void reserveHosts(const ServiceText&, size_t& unplacedCount);
+        void reserveHosts(const ServiceConfig&, size_t& unplacedCount);
         std::vector<const Claim*> movableClaims();
         std::map<std::string, FreeDomain> unreservedDomains() const;
-        bool beginMove(const ServiceText&);
-        bool moveMakesRoom(const ServiceText&, const Claim& moved, const Placement& to) const;
+        bool beginMove(const ServiceConfig&);
+        bool moveMakesRoom(const ServiceConfig&, const Claim& moved, const Placement& to) const;
         bool isRecovering(const Claim&) const;
         bool anyReplicaRecovering() const;
         bool movesMustWait() const;
-        bool isUsable(const ServiceText&, const Placement&) const;
-        std::string allocateReplicaName(const ServiceText&);
+        bool isUsable(const ServiceConfig&, const Placement&) const;
+        std::string allocateReplicaName(const ServiceConfig&);
         void orderUnloads();
         void orderLoads();
         bool hasStartedLoading(const Claim&) const;
-        void orderLoad(const ServiceText&, const Claim&);
+        void orderLoad(const ServiceConfig&, const Claim&);
         bool admitLoads(size_t loads, bool hasStartedLoading);
         bool canOrder(const HostView&, Offset claim, FencingSupport) const;
-        void addOrder(HostOrder::Kind, const Claim&, size_t rank, const ServiceText*);
+        void addOrder(HostOrder::Kind, const Claim&, size_t rank, const ServiceConfig*);
         void proposeEnd(const Claim&, std::string_view reason);
         bool propose(ControllerAction);
         FencingSupport fencingOf(const Claim&) const;
@@ -135,7 +135,7 @@
         LeaseTenure m_tenure;
         bool m_isDisconnected;
         ClaimHealth m_health;
-        std::vector<const ServiceText*> m_services;
+        std::vector<const ServiceConfig*> m_services;
         std::map<std::string, ServiceClaims, std::less<>> m_serviceClaims;
         // The replica names in use, by service.
         std::map<std::string, std::set<std::string>, std::less<>> m_replicaNames;
@@ -181,7 +181,7 @@
 
     void ReconcileRound::collectHeldClaim(const Claim& claim)
     {
-        const ServiceText* service = m_input.config->parsed.service(claim.proposal.service);
+        const ServiceConfig* service = m_input.config->parsed.service(claim.proposal.service);
         if (!service || service->kind != ServiceKind::Model)
             return proposeEnd(claim, "service_removed");
         if (auto reason = m_health.failureReason(claim); !reason.empty()) {
@@ -217,7 +217,7 @@
     // assumption.
     FencingSupport ReconcileRound::fencingOf(const Claim& claim) const
     {
-        const ServiceText* service = m_input.config->parsed.service(claim.proposal.service);
+        const ServiceConfig* service = m_input.config->parsed.service(claim.proposal.service);
         return service ? service->fencing : FencingSupport::Ignored;
     }
 
@@ -282,7 +282,7 @@
 
     // New replicas are placed on free hosts while outdated ones keep running; the outdated ones end as their successors
     // become ready. Only if no hosts are free are outdated replicas ended first, a few at a time.
-    void ReconcileRound::scale(const ServiceText& service, ServiceClaims& claims)
+    void ReconcileRound::scale(const ServiceConfig& service, ServiceClaims& claims)
     {
         endSurplusReplicas(service, claims);
         size_t missing = service.replicas - std::min<size_t>(service.replicas, claims.current.size());
@@ -295,7 +295,7 @@
             claims.unplacedCount = missing;
     }
 
-    void ReconcileRound::endSurplusReplicas(const ServiceText& service, ServiceClaims& claims)
+    void ReconcileRound::endSurplusReplicas(const ServiceConfig& service, ServiceClaims& claims)
     {
         auto readyFirst = [&](const Claim* claim) { return m_health.isReady(*claim); };
         std::stable_partition(claims.outdated.begin(), claims.outdated.end(), readyFirst);
@@ -318,7 +318,7 @@
         claims.moves.erase(kept, claims.moves.end());
     }
 
-    void ReconcileRound::endForVersionChange(const ServiceText& service, ServiceClaims& claims, size_t missing)
+    void ReconcileRound::endForVersionChange(const ServiceConfig& service, ServiceClaims& claims, size_t missing)
     {
         auto maxUnavailable
             = std::max<size_t>(1, static_cast<size_t>(service.replicas * m_settings.rollingUpdateShare));
@@ -330,7 +330,7 @@
     }
 
     // Checks the result of the placer: the hosts of a replica must be distinct, free, and in one domain.
-    bool ReconcileRound::isUsable(const ServiceText& service, const Placement& placement) const
+    bool ReconcileRound::isUsable(const ServiceConfig& service, const Placement& placement) const
     {
         auto domain = m_freeDomains.find(placement.domain);
         std::set<std::string_view> distinct(placement.hosts.begin(), placement.hosts.end());
@@ -343,7 +343,7 @@
         });
     }
 
-    std::string ReconcileRound::allocateReplicaName(const ServiceText& service)
+    std::string ReconcileRound::allocateReplicaName(const ServiceConfig& service)
     {
         auto& names = m_replicaNames[service.name];
         for (size_t number = 0;; ++number) {
@@ -353,7 +353,7 @@
         }
     }
 
-    bool ReconcileRound::claimReplica(const ServiceText& service)
+    bool ReconcileRound::claimReplica(const ServiceConfig& service)
     {
         if (m_proposalCount >= m_settings.maxProposalsPerRound)
             return false;
@@ -365,7 +365,7 @@
     }
 
     bool ReconcileRound::proposeClaim(
-        const ServiceText& service, const Placement& placement, std::string replica, Offset replaces)
+        const ServiceConfig& service, const Placement& placement, std::string replica, Offset replaces)
     {
         FreeDomain& domain = m_freeDomains[placement.domain];
         ClaimProposal claim { service.name, std::move(replica), domain.zone, placement.domain, placement.hosts, {},
@@ -406,10 +406,10 @@
         countAvailableHosts();
         for (const auto& [name, claims] : m_serviceClaims)
             m_runningMoves += claims.moves.size();
-        for (const ServiceText* service : m_services)
+        for (const ServiceConfig* service : m_services)
             reserveHosts(*service, m_serviceClaims[service->name].unplacedCount);
         bool waiting = anyReplicaRecovering();
-        for (const ServiceText* service : m_services) {
+        for (const ServiceConfig* service : m_services) {
             size_t& unplacedCount = m_serviceClaims[service->name].unplacedCount;
             while (unplacedCount > 0 && m_runningMoves < m_rules.movesAtOnce(*service, waiting) && beginMove(*service))
                 --unplacedCount;
@@ -437,7 +437,7 @@
             m_availableHosts[name] += domain.hosts.size();
     }
 
-    void ReconcileRound::reserveHosts(const ServiceText& service, size_t& unplacedCount)
+    void ReconcileRound::reserveHosts(const ServiceConfig& service, size_t& unplacedCount)
     {
         for (auto& [domain, hosts] : m_availableHosts) {
             for (; unplacedCount > 0 && hosts >= service.hostsPerReplica; --unplacedCount)
@@ -468,7 +468,7 @@
         return domains;
     }
 
-    bool ReconcileRound::beginMove(const ServiceText& service)
+    bool ReconcileRound::beginMove(const ServiceConfig& service)
     {
         if (m_proposalCount >= m_settings.maxProposalsPerRound)
             return false;
@@ -479,7 +479,7 @@
         if (!move || !contains(candidates, move->claim))
             return false;
         const Claim& old = m_input.claims.at(move->claim);
-        const ServiceText& moved = *m_input.config->parsed.service(old.proposal.service);
+        const ServiceConfig& moved = *m_input.config->parsed.service(old.proposal.service);
         if (!isUsable(moved, move->to) || !moveMakesRoom(service, old, move->to))
             return false;
         std::string name = successorName(old);
@@ -495,7 +495,7 @@
     // hosts. Therefore only a replica smaller than the one to be placed can move, and two replicas can't displace each
     // other in turn: if any domain had room for a replica of the wanted size, that room would have been reserved for
     // the service itself.
-    bool ReconcileRound::moveMakesRoom(const ServiceText& service, const Claim& moved, const Placement& to) const
+    bool ReconcileRound::moveMakesRoom(const ServiceConfig& service, const Claim& moved, const Placement& to) const
     {
         size_t size = moved.proposal.hosts.size();
         auto from = m_availableHosts.find(moved.proposal.domain);
@@ -523,7 +523,7 @@
     // Whether moves wait is decided by the service of the replica that is down.
     bool ReconcileRound::movesMustWait() const
     {
-        return std::any_of(m_services.begin(), m_services.end(), [&](const ServiceText* service) {
+        return std::any_of(m_services.begin(), m_services.end(), [&](const ServiceConfig* service) {
             auto claims = m_serviceClaims.find(service->name);
             if (claims == m_serviceClaims.end() || !m_rules.recoveryLoadsFirst(*service))
                 return false;
@@ -543,7 +543,7 @@
             && m_health.isStatusFinal(host, claim, fencing, m_tenure);
     }
 
-    void ReconcileRound::addOrder(HostOrder::Kind kind, const Claim& claim, size_t rank, const ServiceText* service)
+    void ReconcileRound::addOrder(HostOrder::Kind kind, const Claim& claim, size_t rank, const ServiceConfig* service)
     {
         const ClaimProposal& proposal = claim.proposal;
         m_actions.push_back(HostOrder { kind, proposal.hosts[rank], claim.offset, proposal.service, proposal.replica,
@@ -580,19 +580,19 @@
 
     void ReconcileRound::orderLoads()
     {
-        for (const ServiceText* service : m_services) {
+        for (const ServiceConfig* service : m_services) {
             for (const Claim* claim : m_serviceClaims[service->name].current)
                 orderLoad(*service, *claim);
         }
         if (movesMustWait())
             return;
-        for (const ServiceText* service : m_services) {
+        for (const ServiceConfig* service : m_services) {
             for (const RunningMove& move : m_serviceClaims[service->name].moves)
                 orderLoad(*service, *move.successor);
         }
     }
 
-    void ReconcileRound::orderLoad(const ServiceText& service, const Claim& claim)
+    void ReconcileRound::orderLoad(const ServiceConfig& service, const Claim& claim)
     {
         if (!m_health.allHostsHealthy(claim))
             return;
--- a/src/coordination/placer.h
+++ b/src/coordination/placer.h
@@ -18,8 +18,8 @@
 };
 
 struct PlacementRequest {
-    const ServiceText& service;
-    const OperatorsText& text;
+    const ServiceConfig& service;
+    const OperatorConfig& text;
     const std::map<Offset, Claim>& claims;
     std::span<const ClaimProposal> proposed; // Claims proposed earlier in the same round, not yet in `claims`.
     const std::map<std::string, FreeDomain>& freeDomains;
@@ -55,10 +55,10 @@
     Placer place;
     Mover move = [](const MoveRequest&) { return std::nullopt; };
     // Upper limit for running moves when another one is begun for this service.
-    std::function<size_t(const ServiceText&, bool recoveriesWait)> movesAtOnce
-        = [](const ServiceText&, bool) { return 0; };
+    std::function<size_t(const ServiceConfig&, bool recoveriesWait)> movesAtOnce
+        = [](const ServiceConfig&, bool) { return 0; };
     // Whether the loads of moves wait while a replica of this service is down and recovering.
-    std::function<bool(const ServiceText&)> recoveryLoadsFirst = [](const ServiceText&) { return true; };
+    std::function<bool(const ServiceConfig&)> recoveryLoadsFirst = [](const ServiceConfig&) { return true; };
 };
 
 // Default policy: takes the first hosts of the first domain that has enough free hosts.
--- a/src/coordination/state.cpp
+++ b/src/coordination/state.cpp
@@ -15,8 +15,8 @@
 
     std::shared_ptr<const AcceptedConfig> parseAccepted(Offset version, std::string_view text)
     {
-        auto parsed = parseOperatorsText(text);
-        auto* operatorsText = std::get_if<OperatorsText>(&parsed);
+        auto parsed = parseOperatorConfig(text);
+        auto* operatorsText = std::get_if<OperatorConfig>(&parsed);
         if (!operatorsText)
             return nullptr;
         return std::make_shared<const AcceptedConfig>(
--- a/src/daemon/controllerloop.cpp
+++ b/src/daemon/controllerloop.cpp
@@ -72,7 +72,7 @@
     m_changed.wait(lock, [&] { return m_hostsWithOrder.empty(); });
 }
 
-void ControllerLoop::onRecordFolded(const FoldedRecord& record, MonotonicTime readAt)
+void ControllerLoop::onRecordFolded(const AppliedRecord& record, MonotonicTime readAt)
 {
     std::lock_guard lock(m_mutex);
     m_lease.folded(record.logged, record.verdict, readAt);
--- a/src/daemon/controllerloop.h
+++ b/src/daemon/controllerloop.h
@@ -32,7 +32,7 @@
     ~ControllerLoop();
 
     // Called on the log reader's thread.
-    void onRecordFolded(const FoldedRecord&, MonotonicTime readAt);
+    void onRecordFolded(const AppliedRecord&, MonotonicTime readAt);
     void onStateRestored(const State&, MonotonicTime readAt);
 
     void start();
--- a/src/daemon/parts.cpp
+++ b/src/daemon/parts.cpp
@@ -131,8 +131,8 @@
     // Started before the other components that have threads, as the log reader and the membership client call it.
     cluster.start(*transport);
 
-    config.setListener([this](const OperatorsText& text) { onConfigChanged(text); });
-    reader.subscribe({ [this](const FoldedRecord& record, MonotonicTime readAt) { onRecordFolded(record, readAt); },
+    config.setListener([this](const OperatorConfig& text) { onConfigChanged(text); });
+    reader.subscribe({ [this](const AppliedRecord& record, MonotonicTime readAt) { onRecordFolded(record, readAt); },
         [this](MonotonicTime readAt) { onStateRestored(readAt); } });
     reader.start();
     membership = std::make_unique<MembershipClient>(timers, MembershipSettings { settings.membership },
@@ -146,7 +146,7 @@
     return callerServer->start();
 }
 
-void Daemon::Parts::onRecordFolded(const FoldedRecord& record, MonotonicTime readAt)
+void Daemon::Parts::onRecordFolded(const AppliedRecord& record, MonotonicTime readAt)
 {
     controller.onRecordFolded(record, readAt);
     if (record.verdict != Verdict::Accepted)
@@ -199,7 +199,7 @@
     slotMembers.assign(members.begin(), members.end());
 }
 
-void Daemon::Parts::onConfigChanged(const OperatorsText& text)
+void Daemon::Parts::onConfigChanged(const OperatorConfig& text)
 {
     admission.configure(text);
     logLine(LogLevel::Info, "operators' text applied", { { "deployment", text.deployment } });
--- a/src/daemon/parts.h
+++ b/src/daemon/parts.h
@@ -44,9 +44,9 @@
     Result<void> start();
 
     // Callbacks of the components; the constructor, start() and collaborators() register them.
-    void onRecordFolded(const FoldedRecord&, MonotonicTime readAt);
+    void onRecordFolded(const AppliedRecord&, MonotonicTime readAt);
     void onStateRestored(MonotonicTime readAt);
-    void onConfigChanged(const OperatorsText&);
+    void onConfigChanged(const OperatorConfig&);
     void onMembershipChanged(const MembershipSnapshot&);
     void updateListedNodes();
     void stopIfReplaced();
--- a/src/daemon/routingfeed.h
+++ b/src/daemon/routingfeed.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "backend/directory.h"
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <map>
 #include <string>
@@ -24,10 +24,10 @@
 public:
     RoutingFeed(ReplicaDirectory&, Router&, Admission&);
 
-    void refresh(const OperatorsText&, const ClusterLoad&, MonotonicTime now);
+    void refresh(const OperatorConfig&, const ClusterLoad&, MonotonicTime now);
 
 private:
-    void refreshService(const ServiceText&, const ClusterLoad&, MonotonicTime now);
+    void refreshService(const ServiceConfig&, const ClusterLoad&, MonotonicTime now);
 
     ReplicaDirectory& m_directory;
     Router& m_router;
--- a/src/daemon/snapshotloop.cpp
+++ b/src/daemon/snapshotloop.cpp
@@ -53,10 +53,10 @@
 
 bool SnapshotLoop::isDue() const
 {
-    auto need = m_reader.snapshotNeed();
+    auto need = m_reader.snapshotStatus();
     SnapshotConditions conditions;
     conditions.retention = m_settings.retention;
-    conditions.oldestUncoveredAge = need.oldestNeeded ? wallNow() - *need.oldestNeeded : Milliseconds(0);
+    conditions.oldestUncoveredAge = need.oldestUncoveredTime ? wallNow() - *need.oldestUncoveredTime : Milliseconds(0);
     conditions.uncoveredExpired = need.uncoveredExpired;
     conditions.holdsLease = m_holdsLease();
     conditions.spread = m_settings.spread;
--- a/src/daemon/weightedplacement.cpp
+++ b/src/daemon/weightedplacement.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     // Plain services use no hosts of the fault domains, so the policy reserves no block of free hosts for them.
-    PlacementService placementService(const ServiceText& service)
+    PlacementService placementService(const ServiceConfig& service)
     {
         uint32_t hosts = service.kind == ServiceKind::Model ? service.hostsPerReplica : 0;
         return { hosts, service.replicas, 0, service.groupDowntimeWeight, service.strandedWeight };
@@ -51,7 +51,7 @@
         uint32_t serviceIndex(const std::string& name) const { return m_serviceIndices.at(name); }
 
     private:
-        void addService(const ServiceText& service)
+        void addService(const ServiceConfig& service)
         {
             m_serviceIndices.emplace(service.name, static_cast<uint32_t>(m_view.services.size()));
             m_view.services.push_back(placementService(service));
@@ -105,12 +105,15 @@
             { view.domains[choice->to.domain].domain, std::move(choice->to.hosts) } };
     }
 
-    size_t maxConcurrentMoves(const ServiceText& service, bool recoveriesWait)
+    size_t maxConcurrentMoves(const ServiceConfig& service, bool recoveriesWait)
     {
         return movesAtOnce(placementService(service), recoveriesWait);
     }
 
-    bool prioritizesRecoveryLoads(const ServiceText& service) { return recoveryLoadsFirst(placementService(service)); }
+    bool prioritizesRecoveryLoads(const ServiceConfig& service)
+    {
+        return recoveryLoadsFirst(placementService(service));
+    }
 
 }
 
--- a/src/membership/snapshot.cpp
+++ b/src/membership/snapshot.cpp
@@ -26,14 +26,14 @@
         constexpr int hexadecimal = 16;
         auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), value, hexadecimal);
         if (text.empty() || code != std::errc() || end != text.data() + text.size())
-            throw std::invalid_argument("not an incarnation: " + text);
+            throw std::invalid_argument("not a hexadecimal incarnation number: " + text);
         return value;
     }
 
-    // A state that we don't know is taken for leaving: such a host still stands but gets nothing new.
+    // An unknown state counts as leaving: the host is alive but gets no new work.
     bool isLeaving(const json& host) { return host.at("state").get<std::string>() != "live"; }
 
-    ListedHost backendFrom(const json& host)
+    ListedHost parseBackend(const json& host)
     {
         ListedHost backend;
         host.at("host").get_to(backend.host);
@@ -46,11 +46,11 @@
         return backend;
     }
 
-    ListedEntry entryFrom(const json& host)
+    ListedNode parseEntry(const json& host)
     {
-        ListedEntry entry;
+        ListedNode entry;
         host.at("host").get_to(entry.node.id.name);
-        // Who writes the list may not know it; the node itself tells its peers.
+        // Optional in the list; nodes learn the incarnations of their peers by gossip.
         if (host.contains("incarnation"))
             entry.node.id.incarnation = parseIncarnation(host.at("incarnation").get<std::string>());
         entry.node.zone = host.value("zone", "");
@@ -60,7 +60,7 @@
         return entry;
     }
 
-    MembershipSnapshot snapshotFrom(const json& page, MonotonicTime readAt)
+    MembershipSnapshot parseSnapshot(const json& page, MonotonicTime readAt)
     {
         MembershipSnapshot snapshot;
         page.at("revision").get_to(snapshot.revision);
@@ -69,12 +69,12 @@
         for (const json& host : page.at("hosts")) {
             auto name = host.at("host").get<std::string>();
             if (!names.insert(name).second)
-                throw std::invalid_argument("listed twice: " + name);
+                throw std::invalid_argument("host is listed twice: " + name);
             auto role = host.at("role").get<std::string>();
             if (role == "backend")
-                snapshot.backends.push_back(backendFrom(host));
+                snapshot.backends.push_back(parseBackend(host));
             else if (role == "entry")
-                snapshot.entries.push_back(entryFrom(host));
+                snapshot.entries.push_back(parseEntry(host));
         }
         return snapshot;
     }
@@ -84,7 +84,7 @@
 Result<MembershipSnapshot> parseMembership(std::string_view text, MonotonicTime readAt)
 {
     try {
-        return snapshotFrom(json::parse(text), readAt);
+        return parseSnapshot(json::parse(text), readAt);
     } catch (const std::exception& fault) {
         return fail({ ErrorCode::Malformed, Step::MembershipRead, {}, fault.what() });
     }
--- a/src/operator/tablereader.h
+++ b/src/operator/tablereader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "operator/text.h"
+#include "operator/config.h"
 
 #include <cstdint>
 #include <string>
@@ -17,51 +17,51 @@
 };
 
 enum class Presence : uint8_t {
-    Optional, // An absent key leaves the value as it was.
+    Optional, // If the key is absent, the value is left unchanged.
     Required,
 };
 
-// A name as it appears in headers, paths and metric labels: nothing in it needs quoting anywhere.
+// Whether a name can be used in headers, paths and metric labels without quoting.
 bool isPlainName(std::string_view);
 
-// Reads one table key by key and collects what is wrong with it. Values that are wrong stay untouched.
+// Reads a TOML table key by key and collects its faults. An invalid value leaves the output unchanged.
 class TableReader {
 public:
-    TableReader(const toml::table&, std::string path, std::vector<TextFault>&);
+    TableReader(const toml::table&, std::string path, std::vector<ConfigFault>&);
 
-    void name(std::string_view key, std::string& into, Presence);
-    void names(std::string_view key, std::vector<std::string>& into, Presence);
-    void number(std::string_view key, uint64_t& into, NumberRange, Presence);
-    void number(std::string_view key, uint32_t& into, NumberRange, Presence);
-    // A finite weight; a share must be above zero too.
-    void weight(std::string_view key, double& into);
-    void share(std::string_view key, double& into);
-    // One of two words; says whether it was the second.
-    void choice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond);
+    void readName(std::string_view key, std::string& into, Presence);
+    void readNames(std::string_view key, std::vector<std::string>& into, Presence);
+    void readNumber(std::string_view key, uint64_t& into, NumberRange, Presence);
+    void readNumber(std::string_view key, uint32_t& into, NumberRange, Presence);
+    // Finite numbers: a weight is zero or more, a share is above zero.
+    void readWeight(std::string_view key, double& into);
+    void readShare(std::string_view key, double& into);
+    // One of two words; isSecond is set to whether it was the second.
+    void readChoice(std::string_view key, std::string_view first, std::string_view second, bool& isSecond);
 
-    // Lets a key stand that is read elsewhere.
-    void expect(std::string_view key);
-    // Refuses a key that means nothing here.
-    void refuse(std::string_view key, std::string_view expected);
-    // Reports each key that nobody asked for.
-    void finish();
+    // Marks a key that is read elsewhere as known.
+    void markKnown(std::string_view key);
+    // Adds a fault if the table has a key that is not allowed here.
+    void rejectKey(std::string_view key, std::string_view expected);
+    // Adds a fault for each unknown key.
+    void reportUnknownKeys();
 
-    // A fault at a key's value, or at the table if the key is absent.
-    void faultAt(std::string_view key, std::string expected);
-    // A fault at one element of a key's array.
-    void faultAtElement(std::string_view key, size_t index, std::string expected);
+    // Adds a fault at a key's value, or at the table if the key is absent.
+    void addFault(std::string_view key, std::string expected);
+    // Adds a fault at one element of a key's array.
+    void addElementFault(std::string_view key, size_t index, std::string expected);
 
 private:
     const toml::node* find(std::string_view key, Presence, std::string_view expected);
-    void decimal(std::string_view key, double& into, bool zeroAllowed);
+    void readDecimal(std::string_view key, double& into, bool zeroAllowed);
     std::string pathTo(std::string_view key) const;
 
     const toml::table& m_table;
     std::string m_path;
-    std::vector<TextFault>& m_faults;
-    std::vector<std::string_view> m_asked;
+    std::vector<ConfigFault>& m_faults;
+    std::vector<std::string_view> m_knownKeys;
 };
 
-TextFault faultAt(const toml::source_region&, std::string key, std::string expected);
+ConfigFault makeFault(const toml::source_region&, std::string key, std::string expected);
 
 } // namespace Kumquatpick
--- a/tests/coordination/controller_test.cpp
+++ b/tests/coordination/controller_test.cpp
@@ -135,7 +135,7 @@
             if (!std::holds_alternative<LeaseProposal>(simulation.log[i].record.body))
                 problems.emplace_back("records are still appended after the deployment should be stable");
         }
-        for (const ServiceText& service : simulation.text().services) {
+        for (const ServiceConfig& service : simulation.text().services) {
             size_t ready = simulation.readyReplicas(service);
             if (ready != service.replicas)
                 problems.push_back(
@@ -150,16 +150,16 @@
             RC_FAIL(problems.front());
     }
 
-    std::vector<ServiceText> twoServices(FencingSupport fencing)
+    std::vector<ServiceConfig> twoServices(FencingSupport fencing)
     {
         return { modelService("writers", 2, fencing), modelService("desk", 1, fencing) };
     }
 
     // A replica of four hosts fits only if the small replicas share one domain. Faults can lead to a state in which
     // only a move makes room for it.
-    std::vector<ServiceText> tightServices(FencingSupport fencing)
+    std::vector<ServiceConfig> tightServices(FencingSupport fencing)
     {
-        ServiceText large = modelService("writers", 1, fencing);
+        ServiceConfig large = modelService("writers", 1, fencing);
         large.hostsPerReplica = 4;
         return { modelService("desk", 2, fencing), large };
     }
@@ -437,7 +437,7 @@
         ControllerFixture two;
         two.host("a");
         two.host("b");
-        ServiceText first = modelService("zebra", 1, FencingSupport::Checked);
+        ServiceConfig first = modelService("zebra", 1, FencingSupport::Checked);
         two.service().dependsOn = { "zebra" };
         two.config.parsed.services.push_back(first);
         ASSERT_EQ(two.all<ClaimProposal>().size(), 1u);
--- a/tests/coordination/controllermove_test.cpp
+++ b/tests/coordination/controllermove_test.cpp
@@ -11,7 +11,7 @@
     // Nine hosts, four of them in d1: a replica of four hosts fits only if the small replicas share one domain.
     ControllerSimulation tightSimulation(uint64_t seed)
     {
-        ServiceText large = modelService("writers", 0, FencingSupport::Checked);
+        ServiceConfig large = modelService("writers", 0, FencingSupport::Checked);
         large.hostsPerReplica = 4;
         constexpr int hosts = 9;
         ControllerSimulation simulation(seed, { modelService("desk", 2, FencingSupport::Checked), large }, hosts);
@@ -44,7 +44,7 @@
     struct MoveFixture : ControllerFixture {
         MoveFixture()
         {
-            ServiceText large = modelService("desk", 1, FencingSupport::Checked);
+            ServiceConfig large = modelService("desk", 1, FencingSupport::Checked);
             large.hostsPerReplica = 4;
             config.parsed.services.push_back(large);
             old = claim("r0", { "a", "b" });
@@ -85,7 +85,7 @@
             return lines;
         }
 
-        ServiceText& large() { return config.parsed.services.back(); }
+        ServiceConfig& large() { return config.parsed.services.back(); }
 
         Offset old = 0;
     };
@@ -182,7 +182,7 @@
         EXPECT_EQ(fixture.orders(), (Lines { "load g", "load h" }));
         fixture.setEngineState(down, EnginePhase::Loading);
         EXPECT_EQ(fixture.orders(), Lines {});
-        fixture.rules.recoveryLoadsFirst = [](const ServiceText&) { return false; };
+        fixture.rules.recoveryLoadsFirst = [](const ServiceConfig&) { return false; };
         EXPECT_EQ(fixture.orders(), (Lines { "load e", "load f" }));
         fixture.setEngineState(down, EnginePhase::Idle);
         EXPECT_EQ(fixture.orders(), (Lines { "load g", "load h", "load e", "load f" }));
@@ -191,7 +191,7 @@
     TEST(ControllerMoves, NoMoveBeginsWithoutNeedOrBeyondTheLimit)
     {
         MoveFixture fixture;
-        fixture.rules.movesAtOnce = [](const ServiceText&, bool) { return 0; };
+        fixture.rules.movesAtOnce = [](const ServiceConfig&, bool) { return 0; };
         EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "the limit for running moves is reached";
         fixture.rules = movingRules();
         fixture.large().replicas = 0;
@@ -219,7 +219,7 @@
     {
         MoveFixture fixture;
         fixture.service().replicas = 2;
-        fixture.rules.movesAtOnce = [](const ServiceText&, bool recoveriesWait) { return recoveriesWait ? 0 : 1; };
+        fixture.rules.movesAtOnce = [](const ServiceConfig&, bool recoveriesWait) { return recoveriesWait ? 0 : 1; };
         Offset down = fixture.claim("r1", { "g", "h" });
         EXPECT_EQ(fixture.all<ClaimProposal>().size(), 1u);
         fixture.setEngineState(down, EnginePhase::Loading);
@@ -315,7 +315,7 @@
         to = { "d2", { "g", "h" } };
         ASSERT_EQ(fixture.all<ClaimProposal>().size(), 1u);
         EXPECT_EQ(fixture.all<ClaimProposal>().front().replaces, other);
-        fixture.rules.movesAtOnce = [](const ServiceText&, bool) { return 1; };
+        fixture.rules.movesAtOnce = [](const ServiceConfig&, bool) { return 1; };
         EXPECT_TRUE(fixture.all<ClaimProposal>().empty()) << "one move is running already";
     }
 
--- a/tests/coordination/controllerworld.h
+++ b/tests/coordination/controllerworld.h
@@ -31,9 +31,9 @@
     return settings;
 }
 
-inline ServiceText modelService(std::string name, uint32_t replicas, FencingSupport fencing)
+inline ServiceConfig modelService(std::string name, uint32_t replicas, FencingSupport fencing)
 {
-    ServiceText service;
+    ServiceConfig service;
     service.name = std::move(name);
     service.model = "kumquat";
     service.modelVersion = "1";
@@ -69,7 +69,7 @@
     PlacementRules rules;
     rules.place = placeFirstFit;
     rules.move = moveFirstFit;
-    rules.movesAtOnce = [](const ServiceText&, bool recoveriesWait) { return recoveriesWait ? 1 : 2; };
+    rules.movesAtOnce = [](const ServiceConfig&, bool recoveriesWait) { return recoveriesWait ? 1 : 2; };
     return rules;
 }
 
@@ -101,7 +101,7 @@
     }
 
     NodeId id;
-    OperatorsText text; // The configuration that this controller has read so far.
+    OperatorConfig text; // The configuration that this controller has read so far.
 
     State state;
     LeaseTracker lease;
@@ -117,7 +117,7 @@
 // Simulates the log, the hosts, the platform's list and the controllers in steps, with a seeded random generator.
 class ControllerSimulation {
 public:
-    ControllerSimulation(uint64_t seed, std::vector<ServiceText> services, int hosts = simulationHosts)
+    ControllerSimulation(uint64_t seed, std::vector<ServiceConfig> services, int hosts = simulationHosts)
         : m_random(seed)
     {
         m_text.services = std::move(services);
@@ -167,7 +167,7 @@
         controller = std::move(fresh);
     }
 
-    size_t readyReplicas(const ServiceText& service) const
+    size_t readyReplicas(const ServiceConfig& service) const
     {
         size_t ready = 0;
         for (const auto& [offset, claim] : appliedState.claims()) {
@@ -188,7 +188,7 @@
         return true;
     }
 
-    OperatorsText& text() { return m_text; }
+    OperatorConfig& text() { return m_text; }
 
     MonotonicTime now { 1000s };
     std::vector<LoggedRecord> log;
@@ -408,7 +408,7 @@
     }
 
     Random m_random;
-    OperatorsText m_text;
+    OperatorConfig m_text;
     std::deque<std::pair<MonotonicTime, std::map<std::string, FakeEngine>>> m_lists;
     std::vector<OrderInFlight> m_orders;
     std::map<Offset, MonotonicTime> m_endedAt;
@@ -472,7 +472,7 @@
         endedAt[claim] = now - 1h;
     }
 
-    ServiceText& service() { return config.parsed.services.front(); }
+    ServiceConfig& service() { return config.parsed.services.front(); }
 
     std::vector<ControllerAction> actions()
     {
--- a/tests/daemon/configview_test.cpp
+++ b/tests/daemon/configview_test.cpp
@@ -18,7 +18,7 @@
     {
         ConfigView view;
         std::vector<std::string> notifiedDeployments;
-        view.setListener([&](const OperatorsText& text) { notifiedDeployments.push_back(text.deployment); });
+        view.setListener([&](const OperatorConfig& text) { notifiedDeployments.push_back(text.deployment); });
         Offset newest = 0;
         std::vector<std::string> expected;
         for (uint8_t version : versions) {
--- a/tests/log/fakelog.h
+++ b/tests/log/fakelog.h
@@ -14,7 +14,7 @@
 
 namespace Kumquatpick::Testing {
 
-// A log service in this process with the faults that its clients have to stand.
+// An in-process log service with fault injection.
 class FakeLog {
 public:
     FakeLog()
@@ -23,7 +23,7 @@
         m_server.Get("/v1/logs/(.+)", [this](const auto& request, auto& response) { read(request, response); });
         m_address = { "127.0.0.1", static_cast<uint16_t>(m_server.bind_to_any_port("127.0.0.1")) };
         m_thread = std::thread([this] { m_server.listen_after_bind(); });
-        // The server can't be stopped before it runs.
+        // stop() has no effect before the server is running.
         while (!m_server.is_running())
             std::this_thread::yield();
     }
@@ -37,19 +37,19 @@
 
     const Address& address() const { return m_address; }
 
-    // Answers nothing but errors, and lets go of waiting readers.
+    // While down, every request gets status 503, also the long polls in progress.
     void setDown(bool down)
     {
         std::lock_guard lock(m_mutex);
-        m_down = down;
+        m_isDown = down;
         m_changed.notify_all();
     }
 
-    // The next appends break off, after or before the record is kept.
+    // The connections of the next appends break, after or before the record is stored.
     void loseAnswers(int count) { m_answersToLose = count; }
     void loseAppends(int count) { m_appendsToLose = count; }
 
-    void put(std::string body)
+    void appendBody(std::string body)
     {
         std::lock_guard lock(m_mutex);
         m_bodies.push_back(std::move(body));
@@ -63,7 +63,7 @@
             m_bodies.pop_front();
     }
 
-    void forgetEverything()
+    void removeAllRecords()
     {
         std::lock_guard lock(m_mutex);
         m_bodies.clear();
@@ -83,13 +83,13 @@
     std::atomic<int> appendCalls { 0 };
 
 private:
-    static void breakOff(httplib::Response& response)
+    static void breakConnection(httplib::Response& response)
     {
         response.set_content_provider(
             100, "application/json", [](size_t, size_t, httplib::DataSink&) { return false; });
     }
 
-    static bool take(std::atomic<int>& left) { return left > 0 && left-- > 0; }
+    static bool consumeOne(std::atomic<int>& left) { return left > 0 && left-- > 0; }
 
     uint64_t next() const { return m_earliest + m_bodies.size(); }
 
@@ -97,17 +97,17 @@
     {
         ++appendCalls;
         std::lock_guard lock(m_mutex);
-        if (m_down) {
+        if (m_isDown) {
             response.status = 503;
             return;
         }
-        if (take(m_appendsToLose))
-            return breakOff(response);
+        if (consumeOne(m_appendsToLose))
+            return breakConnection(response);
         nlohmann::json answer = { { "offset", next() } };
         m_bodies.push_back(request.body);
         m_changed.notify_all();
-        if (take(m_answersToLose))
-            return breakOff(response);
+        if (consumeOne(m_answersToLose))
+            return breakConnection(response);
         response.set_content(answer.dump(), "application/json");
     }
 
@@ -117,8 +117,8 @@
         auto from = std::stoull(request.get_param_value("from"));
         auto limit = std::stoull(request.get_param_value("limit"));
         Milliseconds wait(std::stoll(request.get_param_value("wait_ms")));
-        m_changed.wait_for(lock, wait, [&] { return m_down || from < next(); });
-        if (m_down) {
+        m_changed.wait_for(lock, wait, [&] { return m_isDown || from < next(); });
+        if (m_isDown) {
             response.status = 503;
             return;
         }
@@ -136,7 +136,7 @@
     std::condition_variable m_changed;
     std::deque<std::string> m_bodies;
     uint64_t m_earliest = 1;
-    bool m_down = false;
+    bool m_isDown = false;
     std::atomic<int> m_answersToLose { 0 };
     std::atomic<int> m_appendsToLose { 0 };
     std::thread m_thread;
