--- a/src/caller/requesthandler.h
+++ b/src/caller/requesthandler.h
@@ -124,7 +124,7 @@
     RequestIdentity m_identity;
     CallerRequest m_request;
     MonotonicTime m_deadline {};
-    std::shared_ptr<const OperatorsText> m_text;
+    std::shared_ptr<const OperatorConfig> m_text;
     std::shared_ptr<RequestTrace> m_trace;
 
     bool m_isKeyReserved = false; // The key is reserved in the answer store.
--- a/tests/daemon/weightedplacement_test.cpp
+++ b/tests/daemon/weightedplacement_test.cpp
@@ -17,7 +17,7 @@
         PlacementFixture()
         {
             text.services = { modelService("writers", 2, 2), modelService("desk", 4, 1) };
-            ServiceText plain;
+            ServiceConfig plain;
             plain.name = "router";
             plain.kind = ServiceKind::Plain;
             text.services.push_back(plain);
@@ -41,7 +41,7 @@
             return weightedPlacement.move({ questionFor(1), movable });
         }
 
-        OperatorsText text;
+        OperatorConfig text;
         std::map<Offset, Claim> claims;
         std::map<std::string, FreeDomain> freeDomains;
     };
@@ -74,7 +74,7 @@
 
     TEST(WeightedPlacement, ServiceWeightsDecideConcurrentMovesAndLoadOrder)
     {
-        ServiceText service = modelService("desk", 4, 1);
+        ServiceConfig service = modelService("desk", 4, 1);
         service.groupDowntimeWeight = 0.8;
         service.strandedWeight = 0.2;
         EXPECT_TRUE(weightedPlacement.recoveryLoadsFirst(service));
